--- a/src/cinderway/experiment/__init__.py
+++ b/src/cinderway/experiment/__init__.py
@@ -1,21 +1,22 @@
-"""Play the product's own decisions against model servers and callers.
+"""Simulate the proxy's decision code against modelled servers and callers.
 
-An experiment runs entries' and control replicas' decision code in virtual time, over
-links, servers and callers that are models: hundreds of entries in seconds, the same
-result for the same seed. It shows which way a policy moves what callers get; how far,
-only real processes show.
+An experiment runs the unmodified decision code of entries and control replicas in
+virtual time; network links, backend servers and callers are models. Hundreds of
+entries run in seconds, and the same seed gives the same result. A simulation shows
+whether a policy makes callers' results better or worse; by how much, only real
+processes can show.
 """
 
-from cinderway.experiment._callers import Outcome, Result
+from cinderway.experiment._callers import Outcome, RequestResult
 from cinderway.experiment._declaration import Experiment, read_experiment
 from cinderway.experiment._result import by_route, draw, table_of, write_csv
-from cinderway.experiment._run import Played, play
+from cinderway.experiment._run import PlayResult, play
 
 __all__ = [
     "Experiment",
     "Outcome",
-    "Played",
-    "Result",
+    "PlayResult",
+    "RequestResult",
     "by_route",
     "draw",
     "play",
--- a/src/cinderway/experiment/_callers.py
+++ b/src/cinderway/experiment/_callers.py
@@ -1,4 +1,4 @@
-"""Model callers: what they ask, when, and what became of it."""
+"""Model callers: the requests that they send, when, and with which outcome."""
 
 import itertools
 import math
@@ -17,13 +17,13 @@
 from cinderway.experiment._halls import HOST
 
 OK = 200
-REFUSED = 503
-# Of requests that no other is the same as.
-_numbers = itertools.count()
+SERVICE_UNAVAILABLE = 503
+# Gives each request of a route without `distinct` a path of its own.
+_request_numbers = itertools.count()
 
 
 class Outcome(Enum):
-    """What a caller got."""
+    """How a request ended for its caller."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -32,19 +32,19 @@
 
 
 @dataclass(frozen=True)
-class Result:
-    """One request, from its first try to its end, in the experiment's time."""
+class RequestResult:
+    """One request, from its first attempt to its end, in virtual time."""
 
     route: str
     data_hall: DataHall
-    asked_at_ms: int
-    took_ms: int
+    sent_at_ms: int
+    latency_ms: int
     outcome: Outcome
-    tries: int = 1
+    attempt_count: int = 1
 
 
-class _Answer:
-    """What the entry sends back, by ASGI messages."""
+class _ResponseRecorder:
+    """Records the status and the Retry-After header of an entry's ASGI response."""
 
     def __init__(self):
         self.status = 0
@@ -59,89 +59,99 @@
                 self.retry_after_ms = float(value) * 1000
 
 
-class _Caller:
-    """One try's connection to an entry."""
+class _CallerConnection:
+    """ASGI's receiving side of one attempt: an empty body, then the disconnect."""
 
     def __init__(self):
         self._is_read = False
-        self.left = anyio.Event()
+        self.disconnected = anyio.Event()
 
     async def receive(self) -> dict:
         if not self._is_read:
             self._is_read = True
             return {"type": "http.request", "body": b"", "more_body": False}
-        await self.left.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
 
-async def ask(
+async def send_request(
     experiment: Experiment,
     route: ModelRoute,
     entries: list[ModelEntry],
     hall: DataHall,
     rng: random.Random,
     path: str | None = None,
-) -> Result:
-    """Ask once, come back where that is worth it; return what came of it.
+) -> RequestResult:
+    """Send a request, retry it while allowed, and return its result.
 
-    Where no entry is there, the caller waits in vain. `path` is that of a request which
-    is not one of the route's usual ones.
+    A refused request is retried after the time in the answer's Retry-After header, or
+    at once without one, if the route has retries left and the caller's deadline has not
+    passed by then. If no entry is alive, the caller waits until its deadline. `path` replaces the path that is
+    otherwise drawn for the route.
     """
-    path = path or _drawn_path(route, rng)
-    asked_at_ms = monotonic_ms()
-    give_up_at_ms = asked_at_ms + route.deadline_ms
-    tries = 0
+    path = path or _choose_path(route, rng)
+    sent_at_ms = monotonic_ms()
+    deadline_at_ms = sent_at_ms + route.deadline_ms
+    attempt_count = 0
     while True:
-        tries += 1
+        attempt_count += 1
         if not entries:
             await anyio.sleep(route.deadline_ms / 1000)
-            answer = _Answer()
+            answer = _ResponseRecorder()
             break
         entry = rng.choice(entries)
-        answer = await _try(experiment, route, path, entry, give_up_at_ms, rng)
-        back_at_ms = monotonic_ms() + answer.retry_after_ms
-        may_return = answer.status == REFUSED and tries <= route.retries
-        if not may_return or back_at_ms >= give_up_at_ms:
+        answer = await _send_attempt(
+            experiment, route, path, entry, deadline_at_ms, rng
+        )
+        retry_at_ms = monotonic_ms() + answer.retry_after_ms
+        may_retry = (
+            answer.status == SERVICE_UNAVAILABLE and attempt_count <= route.retries
+        )
+        if not may_retry or retry_at_ms >= deadline_at_ms:
             break
         await anyio.sleep(answer.retry_after_ms / 1000)
-    took_ms = monotonic_ms() - asked_at_ms
-    outcome = _outcome(answer.status, took_ms, route)
-    return Result(route.name, hall, asked_at_ms, took_ms, outcome, tries)
+    latency_ms = monotonic_ms() - sent_at_ms
+    outcome = _classify(answer.status, latency_ms, route)
+    return RequestResult(
+        route.name, hall, sent_at_ms, latency_ms, outcome, attempt_count
+    )
 
 
-async def _try(
+async def _send_attempt(
     experiment: Experiment,
     route: ModelRoute,
     path: str,
     entry: ModelEntry,
-    give_up_at_ms: int,
+    deadline_at_ms: int,
     rng: random.Random,
-) -> _Answer:
-    answer, caller = _Answer(), _Caller()
-    way_s = experiment.caller_ms / 1000
-    left_ms = give_up_at_ms - monotonic_ms()
-    with anyio.move_on_after(left_ms / 1000):
-        await anyio.sleep(way_s)
-        scope = _scope_of(route, path, left_ms, rng)
+) -> _ResponseRecorder:
+    answer, caller = _ResponseRecorder(), _CallerConnection()
+    one_way_s = experiment.caller_ms / 1000
+    remaining_ms = deadline_at_ms - monotonic_ms()
+    with anyio.move_on_after(remaining_ms / 1000):
+        await anyio.sleep(one_way_s)
+        scope = _build_scope(route, path, remaining_ms, rng)
         await entry.serve(scope, caller.receive, answer.send)
         if entry.is_dark:
             await anyio.sleep_forever()
-        await anyio.sleep(way_s)
-    caller.left.set()
+        await anyio.sleep(one_way_s)
+    caller.disconnected.set()
     return answer
 
 
-def _drawn_path(route: ModelRoute, rng: random.Random) -> str:
-    """Return a request's path: one of the route's few, or one of its own."""
-    number = rng.randrange(route.distinct) if route.distinct else next(_numbers)
+def _choose_path(route: ModelRoute, rng: random.Random) -> str:
+    """Return one of the route's `distinct` paths, or a unique one if that is 0."""
+    number = rng.randrange(route.distinct) if route.distinct else next(_request_numbers)
     return f"/{route.name}/{number:x}/{route.answer_bytes}"
 
 
-def _scope_of(route: ModelRoute, path: str, left_ms: int, rng: random.Random) -> dict:
+def _build_scope(
+    route: ModelRoute, path: str, remaining_ms: int, rng: random.Random
+) -> dict:
     headers = [
         (b"host", HOST.encode()),
         (ATTEMPT_HEADER, b"%016x" % rng.getrandbits(64)),
-        (DEADLINE_HEADER, b"%d" % left_ms),
+        (DEADLINE_HEADER, b"%d" % remaining_ms),
     ]
     return {
         "type": "http",
@@ -153,24 +163,26 @@
     }
 
 
-def _outcome(status: int, took_ms: int, route: ModelRoute) -> Outcome:
+def _classify(status: int, latency_ms: int, route: ModelRoute) -> Outcome:
     if status == OK:
-        return Outcome.IN_TIME if took_ms <= route.objective_ms else Outcome.LATE
-    return Outcome.REFUSED if status == REFUSED else Outcome.FAILED
+        return Outcome.IN_TIME if latency_ms <= route.objective_ms else Outcome.LATE
+    return Outcome.REFUSED if status == SERVICE_UNAVAILABLE else Outcome.FAILED
 
 
-def arrivals(
+def generate_arrivals(
     per_s: float, experiment: Experiment, phase: float, rng: random.Random
 ) -> Iterator[tuple[float, float]]:
-    """Yield pauses between requests in ms, and each one's place in the wave.
+    """Yield the pause before each candidate request in ms, and its peak ratio.
 
-    The place is from 0 to 1: the share of requests at their peak that are sent.
+    Candidates arrive as a Poisson process at the load's peak rate. The peak ratio, up
+    to 1, is the current rate of the sinusoidal load divided by that peak: the
+    probability with which the candidate is to be sent.
     """
     peak_per_ms = per_s * (1 + experiment.swing) / 1000
     at_ms = 0.0
     while True:
         pause_ms = rng.expovariate(peak_per_ms)
         at_ms += pause_ms
-        turn = at_ms / experiment.swing_every_ms + phase
-        level = 1 + experiment.swing * math.sin(2 * math.pi * turn)
-        yield pause_ms, level / (1 + experiment.swing)
+        cycles = at_ms / experiment.swing_every_ms + phase
+        load_factor = 1 + experiment.swing * math.sin(2 * math.pi * cycles)
+        yield pause_ms, load_factor / (1 + experiment.swing)
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -1,4 +1,4 @@
-"""An entry's connections to model servers, in place of those over the network."""
+"""Simulated connections from an entry to model servers, in place of real ones."""
 
 from collections import Counter
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -17,16 +17,17 @@
 )
 from cinderway.entry.servers._messages import BackendAnswer, BackendRequest
 from cinderway.experiment._declaration import Experiment, PoisonRequest
-from cinderway.experiment._servers import ModelServer, RunBrokenError, ServerAnswer
+from cinderway.experiment._servers import ModelServer, RunAbortedError, ServerAnswer
 from cinderway.limits import ConnectLimit
 
 
 @dataclass
 class ModelConnections:
-    """Sends requests to model servers; the way takes its time.
+    """Sends requests to model servers with the network latency of the experiment.
 
-    `opened` counts connections that were made, as those over the network do;
-    `far_bytes` is what answers from other halls came to.
+    `opened` counts the connections that were opened, as the real connection pool does;
+    `cross_hall_bytes` adds up the sizes of answers from other data halls. `is_dark`:
+    the entry has lost power.
     """
 
     experiment: Experiment
@@ -35,13 +36,13 @@
     tasks: TaskGroup
     idle_limit: int = 64
     opened: int = 0
-    far_bytes: int = 0
+    cross_hall_bytes: int = 0
     is_dark: bool = False
     _idle: Counter[Address] = field(default_factory=Counter)
     _connect_limit: ConnectLimit = field(default_factory=ConnectLimit)
 
     def __post_init__(self):
-        self._may_end = bool(self.experiment.poison)
+        self._has_poison_requests = bool(self.experiment.poison)
 
     async def send(
         self,
@@ -54,23 +55,28 @@
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
-        """Send a request and return its answer's head. Raises CinderwayError."""
+        """Send a request and return the head of its answer.
+
+        Raises CinderwayError if connecting or the attempt fails. `objection` is called
+        once there is a connection; an error that it returns is raised, and the request
+        is not sent.
+        """
         server = self.servers[address]
-        way_s = self._way_ms(server) / 1000
+        one_way_s = self._one_way_ms(server) / 1000
         if server.is_down:
-            # Its kept connections ended with its process, and entries saw that.
+            # Its idle connections closed with its process, and entries noticed.
             self._idle[address] = 0
         if not fresh and self._idle[address]:
             self._idle[address] -= 1
         else:
-            await self._connect(server, way_s)
+            await self._connect(server, one_way_s)
         reason = objection()
         if reason is not None:
             raise reason
-        await anyio.sleep(way_s)
-        poison = poison_request_of(self.experiment, request.target)
-        answer = await self._run(server, deadline_ms, poison)
-        await anyio.sleep(way_s)
+        await anyio.sleep(one_way_s)
+        poison = find_poison_request(self.experiment, request.target)
+        answer = await self._run_on_server(server, deadline_ms, poison)
+        await anyio.sleep(one_way_s)
         if answer is None:
             raise ConnectionLostError(
                 ErrorCode.BACKEND_FAILED,
@@ -79,22 +85,22 @@
                 peer=address,
             )
         connection = _ModelConnection(self, address)
-        size = int(request.target.rpartition(b"/")[2]) if answer.is_good else 0
+        size = int(request.target.rpartition(b"/")[2]) if answer.is_success else 0
         if server.data_hall != self.data_hall:
-            self.far_bytes += size
+            self.cross_hall_bytes += size
         return BackendAnswer(
             answer.status, answer.headers, _ModelBody(size), connection
         )
 
     def give_back(self, address: Address) -> None:
-        """Keep a connection for the next request."""
+        """Return a connection to the idle pool, for the next request."""
         self._idle[address] = min(self._idle[address] + 1, self.idle_limit)
 
-    def _way_ms(self, server: ModelServer) -> float:
+    def _one_way_ms(self, server: ModelServer) -> float:
         is_near = server.data_hall == self.data_hall
         return self.experiment.own_hall_ms if is_near else self.experiment.other_hall_ms
 
-    async def _connect(self, server: ModelServer, way_s: float) -> None:
+    async def _connect(self, server: ModelServer, one_way_s: float) -> None:
         if server.is_dark:
             await anyio.sleep(self._connect_limit.limit_ms / 1000)
             self._connect_limit.note_missed()
@@ -104,7 +110,7 @@
                 step=Step.CONNECT,
                 peer=server.address,
             )
-        await anyio.sleep(2 * way_s)
+        await anyio.sleep(2 * one_way_s)
         if server.is_down:
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
@@ -112,62 +118,67 @@
                 step=Step.CONNECT,
                 peer=server.address,
             )
-        self._connect_limit.note_made(2000 * way_s)
+        self._connect_limit.note_made(2000 * one_way_s)
         self.opened += 1
 
-    async def _run(
+    async def _run_on_server(
         self, server: ModelServer, deadline_ms: int, poison: PoisonRequest | None
     ) -> ServerAnswer | None:
-        """Let the server work; it stops when this side closes the connection.
+        """Run a request on the server; None if the server closed the connection.
 
-        A side without power closes nothing: the server works on. None if the server
-        ended meanwhile.
+        The server stops work when the entry closes the connection. An entry that has
+        lost power closes nothing, so the server keeps working.
         """
-        run = _Run()
-        # A run that may break off needs a task of its own; most experiments have none.
-        work = partial(server.run, poison=poison) if self._may_end else server.answer
-        self.tasks.start_soon(run.work, server, work, deadline_ms)
+        task = _ServerTask()
+        # A run that a crash of the server may abort needs a task of its own. Most
+        # experiments have no poison requests and save that task.
+        execute = (
+            partial(server.run, poison=poison)
+            if self._has_poison_requests
+            else server.answer
+        )
+        self.tasks.start_soon(task.run, server, execute, deadline_ms)
         try:
-            await run.done.wait()
+            await task.done.wait()
         finally:
-            if not run.done.is_set() and not self.is_dark:
-                run.scope.cancel()
-        return run.answer
+            if not task.done.is_set() and not self.is_dark:
+                task.scope.cancel()
+        return task.answer
 
 
-def poison_request_of(experiment: Experiment, target: bytes) -> PoisonRequest | None:
-    """Return the declared request that a path stands for, if it ends servers."""
+def find_poison_request(experiment: Experiment, target: bytes) -> PoisonRequest | None:
+    """Return the poison request with this path; None for any other request."""
     for number, poison in enumerate(experiment.poison):
-        if target.startswith(poison_path(poison, number).encode()):
+        if target.startswith(build_poison_path_prefix(poison, number).encode()):
             return poison
     return None
 
 
-def poison_path(poison: PoisonRequest, number: int) -> str:
-    """Return the path of the declared request with a number, without its last part."""
+def build_poison_path_prefix(poison: PoisonRequest, number: int) -> str:
+    """Return a poison request's path up to its last segment, the answer's size."""
     return f"/{poison.route}/poison-{number}/"
 
 
 @dataclass
-class _Run:
-    """One request at a server, in a task of the server's own."""
+class _ServerTask:
+    """One request on a server, in a task that can outlive the entry's attempt."""
 
     done: anyio.Event = field(default_factory=anyio.Event)
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
     answer: ServerAnswer | None = None
 
-    async def work(
+    async def run(
         self,
         server: ModelServer,
-        work: Callable[[int], Awaitable[ServerAnswer]],
+        execute: Callable[[int], Awaitable[ServerAnswer]],
         deadline_ms: int,
     ) -> None:
         with self.scope:
             if server.is_dark:
                 await anyio.sleep_forever()
             try:
-                answer = await work(deadline_ms)
-            except RunBrokenError:
+                answer = await execute(deadline_ms)
+            except RunAbortedError:
                 answer = None
             if server.is_dark:
                 await anyio.sleep_forever()
--- a/src/cinderway/experiment/_declaration.py
+++ b/src/cinderway/experiment/_declaration.py
@@ -1,4 +1,4 @@
-"""What an experiment is: halls, services, routes and faults, from one TOML file."""
+"""Declaration of an experiment in TOML: halls, services, routes and faults."""
 
 from enum import Enum
 from pathlib import Path
@@ -11,24 +11,24 @@
 
 
 class _Table(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all tables; a field that nobody knows is an error."""
+    """Base class of all TOML tables; unknown fields are errors."""
 
 
 class BurstFailure(Enum):
-    """What a server does with the requests that fail in a burst."""
+    """How a server fails requests during a burst of failures."""
 
     ERROR = "error"
     HANG = "hang"
     RESET = "reset"
-    # Turns them away and asks for rest.
+    # Rejects them with 503, and with Retry-After where the service has `rest_ms`.
     BUSY = "busy"
 
 
 class Bursts(_Table):
-    """Each server fails in bursts while its health check is good.
+    """Bursts of failures on each server, which its health check does not show.
 
-    A burst lasts `length_ms` on the mean and begins every `every_ms`; in it, a
-    `fail_share` of the requests fails.
+    A burst lasts `length_ms` on average and one begins every `every_ms` on average;
+    during a burst, the share `fail_share` of the requests fails.
     """
 
     length_ms: float
@@ -38,11 +38,12 @@
 
 
 class ModelService(_Table):
-    """A service and its backend servers, `servers_a_hall` in each hall.
+    """A service with `servers_a_hall` backend servers in each data hall.
 
-    Work takes `work_ms` on the mean, spread log-normally. A server runs `slots`
-    requests at once, lets `queue` wait and sheds the rest. Beyond its bursts it fails
-    an `error_share` of what it has run.
+    The work of a request takes `work_ms` on average, log-normally distributed with
+    `work_spread` as the standard deviation of its logarithm. A server runs up to
+    `slots` requests concurrently, queues up to `queue` more and rejects the rest.
+    Besides the failures in bursts, a share `error_share` of the requests that ran fails.
     """
 
     name: ServiceName
@@ -52,16 +53,17 @@
     work_spread: float = 0.5
     queue: int = 12
     error_share: float = 0.0
-    # What a server asks for when it turns a request away; 0 where it does not.
+    # Retry-After of a server that rejects a request; 0: it sends no such header.
     rest_ms: int = 0
     bursts: Bursts | None = None
 
 
 class ModelRoute(_Table):
-    """A route and the callers' requests for it, `per_s` in all halls together.
+    """A route and its load: `per_s` requests a second over all data halls.
 
-    An answer within the objective is worth `worth`, a later one `late_worth`. Callers
-    that are refused come back `retries` times, when they are told to.
+    An answer within the objective is worth `worth`, a later one `late_worth`. A caller
+    whose request is refused retries it up to `retries` times, each after the time that
+    the answer's Retry-After header asks for, or at once without one.
     """
 
     name: str
@@ -77,16 +79,16 @@
     server_limit: int = 2
     priority: int = 1
     retries: int = 0
-    # How many different requests callers send; 0 where no two are the same.
+    # How many different requests callers send; 0: each one is unique.
     distinct: int = 0
 
 
 class PoisonRequest(_Table):
-    """A request that ends each backend server which begins to run it.
+    """A request that crashes each backend server which starts to run it.
 
-    The same request comes every `every_ms` from `at_ms` to `until_ms`, at any entry. A
-    server ends `ends_after_ms` into its run, with all that it has under way, and is
-    back after `down_ms`.
+    The same request is sent every `every_ms` from `at_ms` to `until_ms`, each time to
+    a random entry. The server crashes `ends_after_ms` after it started to run it, with
+    all other requests in progress, and is up again after `down_ms`.
     """
 
     route: str
@@ -98,24 +100,29 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong, and with what."""
+    """What fails, and how."""
 
-    # Entries lose power; what they had sent to servers runs on there.
+    # Entries lose power; servers keep running the requests that they had sent.
     POWER_LOSS = "power-loss"
-    # Servers say nothing any more, and nobody tells.
+    # Servers stop responding without closing connections; no one is notified.
     DARK_SERVERS = "dark-servers"
     # Servers take `factor` times as long.
     SLOW_SERVERS = "slow-servers"
-    # Servers turn `factor` of their requests away, and ask for rest.
+    # Servers reject the share `factor` of their requests, with Retry-After where the
+    # service has `rest_ms`.
     BUSY_SERVERS = "busy-servers"
-    # Servers name a limit of `factor` requests a second from all entries together.
+    # Servers advertise a limit of `factor` requests a second for all entries together.
     LIMITED_SERVERS = "limited-servers"
     # Callers send `factor` times as many requests.
     SURGE = "surge"
 
 
 class Fault(_Table):
-    """One fault: a `share` of what it strikes, for a while."""
+    """A fault from `at_ms` on, for `for_ms`.
+
+    It affects the share `share` of the entries or servers, of one service only if
+    `service` is given. A surge affects all callers.
+    """
 
     kind: FaultKind
     at_ms: int
@@ -126,7 +133,7 @@
 
 
 class Experiment(_Table):
-    """A whole experiment. Entries are the same number in each hall."""
+    """A whole experiment, with the same number of entries in each data hall."""
 
     name: str
     halls: list[DataHall]
@@ -136,7 +143,7 @@
     routes: list[ModelRoute]
     faults: list[Fault] = []
     poison: list[PoisonRequest] = []
-    # One way. Source of the values that are left out: the users' data halls.
+    # One-way network latencies. The defaults come from the users' data halls.
     own_hall_ms: float = 0.2
     other_hall_ms: float = 1.4
     caller_ms: float = 3.0
@@ -148,41 +155,46 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Return the checked experiment of a TOML file.
+    """Read an experiment from a TOML file and validate it.
 
-    Raises CinderwayError with SETTING_INVALID that says what was given and allowed.
+    Raises CinderwayError with SETTING_INVALID, which names the invalid and the allowed
+    values.
     """
     try:
-        found = msgspec.toml.decode(path.read_bytes(), type=Experiment)
+        experiment = msgspec.toml.decode(path.read_bytes(), type=Experiment)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise _invalid(f"{path}: {error}") from error
-    _check(found)
-    return found
+        raise _invalid_setting(f"{path}: {error}") from error
+    _validate(experiment)
+    return experiment
 
 
-def _check(experiment: Experiment) -> None:
+def _validate(experiment: Experiment) -> None:
     services = {service.name for service in experiment.services}
-    named = [("route", route.name, route.service) for route in experiment.routes]
-    named += [("fault", f.kind.value, f.service) for f in experiment.faults]
-    for what, name, service in named:
+    references = [("route", route.name, route.service) for route in experiment.routes]
+    references += [("fault", f.kind.value, f.service) for f in experiment.faults]
+    for what, name, service in references:
         if service is not None and service not in services:
             allowed = ", ".join(sorted(services))
-            raise _invalid(f"{what} {name}: service {service!r}; allowed: {allowed}")
+            raise _invalid_setting(
+                f"{what} {name}: service {service!r}; allowed: {allowed}"
+            )
     routes = {route.name for route in experiment.routes}
     for poison in experiment.poison:
         if poison.route not in routes:
             allowed = ", ".join(sorted(routes))
-            raise _invalid(f"poison.route: given {poison.route!r}; allowed: {allowed}")
+            raise _invalid_setting(
+                f"poison.route: given {poison.route!r}; allowed: {allowed}"
+            )
     shares = [("faults.share", fault.share) for fault in experiment.faults]
     shares += [("error_share", s.error_share) for s in experiment.services]
     bursts = [s.bursts for s in experiment.services if s.bursts]
     shares += [("bursts.fail_share", b.fail_share) for b in bursts]
     for name, share in shares:
         if not 0 <= share <= 1:
-            raise _invalid(f"{name}: given {share}; allowed: 0 to 1")
+            raise _invalid_setting(f"{name}: given {share}; allowed: 0 to 1")
     for burst in bursts:
         if not 0 < burst.length_ms < burst.every_ms:
-            raise _invalid(
+            raise _invalid_setting(
                 f"bursts.length_ms: given {burst.length_ms}; allowed: above 0 and "
                 f"below every_ms, {burst.every_ms}"
             )
@@ -192,8 +204,8 @@
     counts += [("slots", s.slots) for s in experiment.services]
     for name, count in counts:
         if count < 1:
-            raise _invalid(f"{name}: given {count}; allowed: 1 and above")
+            raise _invalid_setting(f"{name}: given {count}; allowed: 1 and above")
 
 
-def _invalid(detail: str) -> CinderwayError:
+def _invalid_setting(detail: str) -> CinderwayError:
     return CinderwayError(ErrorCode.SETTING_INVALID, detail, step=Step.START)
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -1,4 +1,7 @@
-"""Model entries: the code that serves callers, over links that only take time."""
+"""Model entries: the proxy's own request handling, over simulated links.
+
+A simulated link delays messages and never loses them.
+"""
 
 import random
 from collections.abc import Callable
@@ -35,19 +38,25 @@
 from cinderway.wire import Message
 
 ANSWER_LIMIT_BYTES = 64 * 1024 * 1024
-# As many frames as one moment's news to all halls comes to.
-FRAMES_REMEMBERED = 256
+# Enough for the different frames that the control replicas of all halls send to their
+# entries at about the same time.
+DECODED_FRAME_CACHE_SIZE = 256
 
 
-@lru_cache(maxsize=FRAMES_REMEMBERED)
-def _decoded(frame: bytes) -> Message:
-    """Return a frame's message; all entries of a hall are told the same frames."""
+@lru_cache(maxsize=DECODED_FRAME_CACHE_SIZE)
+def _decode_frame(frame: bytes) -> Message:
+    """Decode a frame. Cached, since all entries of a hall receive the same frames."""
     return CATALOG.decode(frame, peer="model").message
 
 
 @dataclass(eq=False)
 class ModelEntry:
-    """One entry, from its start to its end. Also its source of retries."""
+    """One entry process, from its start until it loses power.
+
+    It also is the entry's retry budget (RetrySource) and, towards the hall's control
+    replica, both the connection that reports are sent on and the Follower that updates
+    are sent to.
+    """
 
     name: EntryName
     hall: ModelHall
@@ -55,13 +64,13 @@
     tasks: TaskGroup
     rng: random.Random
     peers_address: Address = Address("")
-    _scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
-    _serving: set[anyio.CancelScope] = field(default_factory=set)
+    _lifetime: anyio.CancelScope = field(default_factory=anyio.CancelScope)
+    _request_scopes: set[anyio.CancelScope] = field(default_factory=set)
 
     def __post_init__(self):
         experiment = self.hall.experiment
         self.data_hall = self.hall.name
-        self._way_ms = experiment.own_hall_ms
+        self._one_way_ms = experiment.own_hall_ms
         board = Blackboard(self.name, self.data_hall, self.rng)
         evidence = EvidenceLog()
         self.state = CatalogBoard(board, evidence, experiment.retry_percent)
@@ -79,7 +88,7 @@
 
     @property
     def entry(self) -> EntryName:
-        """Its name, as a follower of the replica has it."""
+        """The entry's name, as an attribute of Follower."""
         return self.name
 
     @property
@@ -88,13 +97,13 @@
         return self.connections.is_dark
 
     async def run(self) -> None:
-        """Follow the hall's replica until power is lost."""
-        with self._scope:
-            await anyio.sleep(2 * self._way_ms / 1000)
+        """Follow the hall's control replica until power is lost."""
+        with self._lifetime:
+            await anyio.sleep(2 * self._one_way_ms / 1000)
             self.state.install(self.hall.machine.update_since(0), monotonic_ms())
             self.hall.service.followers.add(self)
-            known = self.hall.service.poison.rulings()
-            self.tell_news([CATALOG.encode(known)])
+            rulings = self.hall.service.poison.rulings()
+            self.tell_news([CATALOG.encode(rulings)])
             self.tell_news([CATALOG.encode(self.hall.service.limits.limits())])
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._reports.send_evidence, self)
@@ -104,62 +113,70 @@
                 tasks.start_soon(self._reports.send_limits, self)
 
     async def serve(self, scope: dict, receive: Callable, send: Callable) -> None:
-        """Serve one request; without power it is never answered."""
-        with anyio.CancelScope() as own:
-            self._serving.add(own)
+        """Serve one request through ASGI.
+
+        Losing power cancels it; the caller then gets no answer.
+        """
+        with anyio.CancelScope() as request_scope:
+            self._request_scopes.add(request_scope)
             try:
                 await self.handler(scope, receive, send)
             finally:
-                self._serving.discard(own)
+                self._request_scopes.discard(request_scope)
 
     def lose_power(self) -> None:
-        """End at once, without a word to anybody."""
+        """Stop at once, without closing connections or notifying anyone."""
         self.connections.is_dark = True
         self.hall.service.followers.discard(self)
         self.hall.service.news.forget(self.name)
-        self._scope.cancel()
-        for scope in self._serving:
+        self._lifetime.cancel()
+        for scope in self._request_scopes:
             scope.cancel()
 
-    # To the replica.
+    # To the control replica.
 
     async def send(self, message: Message) -> None:
-        """Send what the entry reports, as over its connection to the replica."""
-        call_later(self._way_ms, self.hall.take, self.name, message)
+        """Send a report to the replica, as the real connection does."""
+        call_later(self._one_way_ms, self.hall.receive_report, self.name, message)
 
     async def aclose(self) -> None:
-        """Close nothing: the model's link does not break."""
+        """Do nothing: simulated links never fail."""
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Record a new request, for the retry budget of its service."""
         self._reports.first_requests[service.row.name] += 1
 
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry from the shared budget; False if there is none left."""
-        await anyio.sleep(2 * self._way_ms / 1000)
+        """Acquire a retry from the budget that all entries of the hall share.
+
+        False if the budget is exhausted.
+        """
+        await anyio.sleep(2 * self._one_way_ms / 1000)
         return self.hall.service.take_retry(TakeRetry(service.row.name, after_failure))
 
     async def _ask_allowances(self, asked: AskAllowances, timeout_s: float) -> None:
-        """Answer nothing: the model has no accounts."""
+        """Do nothing: the model has no client accounts, so no allowances."""
 
-    # From the replica.
+    # From the control replica; methods of Follower.
 
     def tell_news(self, frames: list[bytes]) -> None:
-        """Take news of servers, as a follower of the replica does."""
+        """Receive encoded messages about servers after the link's latency."""
         for frame in frames:
-            call_later(self._way_ms, self._hear, frame)
+            call_later(self._one_way_ms, self._receive_frame, frame)
 
     def tell_verdicts(self, frame: bytes) -> None:
-        """Take verdicts, as a follower of the replica does."""
-        call_later(self._way_ms, self._hear, frame)
+        """Receive an encoded batch of verdicts after the link's latency."""
+        call_later(self._one_way_ms, self._receive_frame, frame)
 
     def tell_hall_entries(self, entries: HallEntries) -> None:
-        """Take nothing: control never goes away in the model."""
+        """Do nothing: entries need the list of the hall's other entries only while no
+        control replica is reachable, and the model's replicas never fail.
+        """
 
-    def _hear(self, frame: bytes) -> None:
-        match _decoded(frame):
+    def _receive_frame(self, frame: bytes) -> None:
+        match _decode_frame(frame):
             case VerdictBatch() as verdicts:
                 self.state.apply(verdicts)
             case ServerLoads() as loads:
--- a/src/cinderway/experiment/_halls.py
+++ b/src/cinderway/experiment/_halls.py
@@ -1,4 +1,7 @@
-"""Model halls: a control replica's own service, over links that only take time."""
+"""Model data halls: a control replica's own HallService, over simulated links.
+
+A simulated link delays messages and never loses them.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -37,23 +40,23 @@
 FLOOR_PERCENT = 70
 
 
-def catalog_of(experiment: Experiment, servers: list[ModelServer]) -> CatalogMachine:
-    """Return a catalog with the experiment's routes, servers and replicas."""
+def build_catalog(experiment: Experiment, servers: list[ModelServer]) -> CatalogMachine:
+    """Build a catalog with the experiment's routes, servers and control replicas."""
     machine = CatalogMachine()
-    commands = [InstallSheet.of(msgspec.json.encode(_sheet_of(experiment)))]
-    commands += [Register(_registered(server)) for server in servers]
-    commands += [replica_of(hall) for hall in experiment.halls]
+    commands = [InstallSheet.of(msgspec.json.encode(_build_sheet(experiment)))]
+    commands += [Register(_build_registered_server(server)) for server in servers]
+    commands += [build_replica(hall) for hall in experiment.halls]
     for index, command in enumerate(commands, 1):
         machine.apply(index, encode_command(command))
     return machine
 
 
-def replica_of(hall: DataHall) -> AnnounceReplica:
-    """Return the control replica of a hall: there is one in each."""
+def build_replica(hall: DataHall) -> AnnounceReplica:
+    """Build the announcement of a hall's control replica; each hall has one."""
     return AnnounceReplica(Address(f"{hall}:1"), hall, Address(f"{hall}:2"))
 
 
-def _sheet_of(experiment: Experiment) -> RouteSheet:
+def _build_sheet(experiment: Experiment) -> RouteSheet:
     routes = [
         RouteRow(
             name=route.name,
@@ -72,7 +75,7 @@
     return RouteSheet(version=1, routes=routes, services=services)
 
 
-def _registered(server: ModelServer) -> RegisteredServer:
+def _build_registered_server(server: ModelServer) -> RegisteredServer:
     return RegisteredServer(
         server.name,
         server.service.name,
@@ -85,7 +88,7 @@
 
 @dataclass
 class ModelHall:
-    """One hall's control replica."""
+    """One data hall's control replica."""
 
     experiment: Experiment
     name: DataHall
@@ -94,7 +97,7 @@
     service: HallService = field(init=False)
 
     def __post_init__(self):
-        own = replica_of(self.name)
+        own = build_replica(self.name)
         self.halls[own.address] = self
         rules = JudgementRules(Bias.BALANCED, FLOOR_PERCENT)
         pools = RetryPools(self.experiment.retry_percent, self.experiment.retry_burst)
@@ -103,27 +106,27 @@
         )
 
     async def call(self, address: Address, message: Message, timeout_s: float) -> None:
-        """Tell another hall's replica, as replicas call each other."""
+        """Send a message to another hall's replica, as ReplicaCalls does."""
         other = self.halls[address].service
         match message:
             case SuspectServers():
-                hear: Callable = other.news.hear_suspects
-                call_later(self.experiment.other_hall_ms, hear, message)
+                deliver: Callable = other.news.hear_suspects
+                call_later(self.experiment.other_hall_ms, deliver, message)
             case ServerLoads(servers=loads):
-                hear = other.news.hear_loads
-                call_later(self.experiment.other_hall_ms, hear, self.name, loads)
+                deliver = other.news.hear_loads
+                call_later(self.experiment.other_hall_ms, deliver, self.name, loads)
             case RequestRuns():
-                hear = other.poison.hear_runs
-                call_later(self.experiment.other_hall_ms, hear, message)
+                deliver = other.poison.hear_runs
+                call_later(self.experiment.other_hall_ms, deliver, message)
             case RequestRulings():
-                hear = other.poison.learn
-                call_later(self.experiment.other_hall_ms, hear, message)
+                deliver = other.poison.learn
+                call_later(self.experiment.other_hall_ms, deliver, message)
             case ServerLimits():
-                hear = other.limits.hear
-                call_later(self.experiment.other_hall_ms, hear, message)
+                deliver = other.limits.hear
+                call_later(self.experiment.other_hall_ms, deliver, message)
 
-    def take(self, entry: EntryName, message: Message) -> None:
-        """Take what an entry of the hall sent."""
+    def receive_report(self, entry: EntryName, message: Message) -> None:
+        """Receive a report from an entry of the hall."""
         match message:
             case EvidenceBatch() as batch:
                 self.service.take_evidence(batch)
--- a/src/cinderway/experiment/_run.py
+++ b/src/cinderway/experiment/_run.py
@@ -1,4 +1,4 @@
-"""Play an experiment: halls, entries, callers and faults in virtual time."""
+"""Simulate an experiment: halls, entries, callers and faults in virtual time."""
 
 import logging
 import random
@@ -10,8 +10,8 @@
 
 from cinderway._clock import monotonic_ms
 from cinderway._ids import Address, DataHall, EntryName, ServerName
-from cinderway.experiment._callers import Result, arrivals, ask
-from cinderway.experiment._connections import poison_path
+from cinderway.experiment._callers import RequestResult, generate_arrivals, send_request
+from cinderway.experiment._connections import build_poison_path_prefix
 from cinderway.experiment._declaration import (
     Experiment,
     Fault,
@@ -20,21 +20,22 @@
     PoisonRequest,
 )
 from cinderway.experiment._entries import ModelEntry
-from cinderway.experiment._halls import ModelHall, catalog_of
+from cinderway.experiment._halls import ModelHall, build_catalog
 from cinderway.experiment._servers import ModelServer
 from cinderway.experiment._virtual_time import run_in_virtual_time
 
-# Entries are up and follow their hall before the first request.
-LEAD_S = 1.0
-# A process that starts again needs this long until it can serve.
-START_S = 0.4
+# Time for entries to start and to follow their control replica before requests begin.
+WARMUP_S = 1.0
+# Time that a restarted entry process needs until it can serve.
+ENTRY_RESTART_S = 0.4
 
 
 @dataclass(frozen=True)
 class LimitedServer:
-    """What came to a server that named a limit, and the last one that it named.
+    """The requests to a server that advertised a rate limit, and its latest limit.
 
-    Times count from when callers began to come.
+    `named_at_ms` is when it first advertised one. Times count from the start of the
+    load.
     """
 
     limit_per_s: float
@@ -42,7 +43,10 @@
     arrivals_ms: list[int]
 
     def most_in(self, window_ms: int, from_ms: int) -> int:
-        """Return the most requests that came in any window from a time on."""
+        """Return the most requests that arrived in any window of this length.
+
+        Requests before `from_ms` are left out.
+        """
         times_ms = [at_ms for at_ms in self.arrivals_ms if at_ms >= from_ms]
         most, first = 0, 0
         for last, at_ms in enumerate(times_ms):
@@ -53,49 +57,56 @@
 
 
 @dataclass
-class Played:
-    """What an experiment showed, from the moment at which callers began to come."""
+class PlayResult:
+    """The result of one play: one simulation of an experiment with one seed.
+
+    Times of requests in `results` and `poison_results` are the clock's; the load starts
+    at `began_at_ms` of it. All other times count from then.
+    """
 
     experiment: Experiment
     seed: int
-    results: list[Result] = field(default_factory=list)
+    results: list[RequestResult] = field(default_factory=list)
     arrivals: int = 0
-    turned_away: int = 0
+    rejected: int = 0
     began_at_ms: int = 0
     connections_opened: int = 0
-    far_bytes: int = 0
-    # When poison requests came to servers and when they ended them, in order.
+    cross_hall_bytes: int = 0
+    # When poison requests arrived at servers, and when they crashed one, in order.
     poison_arrivals_ms: list[int] = field(default_factory=list)
-    server_ends_ms: list[int] = field(default_factory=list)
-    # The answers to poison requests.
-    poison_results: list[Result] = field(default_factory=list)
-    # The servers that named a limit.
+    server_crashes_ms: list[int] = field(default_factory=list)
+    # Results of the poison requests, which `results` leaves out.
+    poison_results: list[RequestResult] = field(default_factory=list)
+    # Servers that advertised a rate limit.
     limited_servers: list[LimitedServer] = field(default_factory=list)
 
 
-def play(experiment: Experiment, seed: int) -> Played:
-    """Play an experiment; the same seed gives the same result."""
+def play(experiment: Experiment, seed: int) -> PlayResult:
+    """Simulate an experiment; the same seed gives the same result.
+
+    Only critical log lines of the package pass meanwhile.
+    """
     package = logging.getLogger("cinderway")
     level, package.level = package.level, logging.CRITICAL
     try:
-        return run_in_virtual_time(_World(experiment, seed).run)
+        return run_in_virtual_time(_Simulation(experiment, seed).run)
     finally:
         package.setLevel(level)
 
 
-class _World:
+class _Simulation:
     def __init__(self, experiment: Experiment, seed: int):
         self.experiment = experiment
         self.rng = random.Random(seed)
-        self.played = Played(experiment, seed)
-        self.surge = 1.0
+        self.play_result = PlayResult(experiment, seed)
+        self.surge_factor = 1.0
         self.entries: dict[DataHall, list[ModelEntry]] = {}
 
-    async def run(self) -> Played:
-        self.played.began_at_ms = monotonic_ms() + round(LEAD_S * 1000)
-        servers = self.servers = self._make_servers()
+    async def run(self) -> PlayResult:
+        self.play_result.began_at_ms = monotonic_ms() + round(WARMUP_S * 1000)
+        servers = self.servers = self._build_servers()
         self.by_address = {server.address: server for server in servers}
-        machine = catalog_of(self.experiment, servers)
+        machine = build_catalog(self.experiment, servers)
         halls: dict[Address, ModelHall] = {}
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
@@ -105,35 +116,38 @@
                 self.entries[name] = []
                 for number in range(self.experiment.entries_a_hall):
                     self._start_entry(hall, EntryName(f"{name}-{number}"))
-            await anyio.sleep(LEAD_S)
-            await self._let_callers_come(tasks)
+            await anyio.sleep(WARMUP_S)
+            await self._run_load_and_faults(tasks)
             tasks.cancel_scope.cancel()
         for entries in self.entries.values():
             for entry in entries:
-                self.played.connections_opened += entry.connections.opened
-                self.played.far_bytes += entry.connections.far_bytes
-        self.played.arrivals = sum(server.arrivals for server in self.servers)
-        self.played.turned_away = sum(server.turned_away for server in self.servers)
-        self.played.limited_servers = [
+                self.play_result.connections_opened += entry.connections.opened
+                self.play_result.cross_hall_bytes += entry.connections.cross_hall_bytes
+        self.play_result.arrivals = sum(server.arrivals for server in self.servers)
+        self.play_result.rejected = sum(server.rejected for server in self.servers)
+        self.play_result.limited_servers = [
             LimitedServer(
-                server.limit_named_per_s,
-                server.limit_named_at_ms - self.played.began_at_ms,
-                [at_ms - self.played.began_at_ms for at_ms in server.arrivals_ms],
+                server.advertised_limit_per_s,
+                server.limit_advertised_at_ms - self.play_result.began_at_ms,
+                [at_ms - self.play_result.began_at_ms for at_ms in server.arrivals_ms],
             )
             for server in self.servers
-            if server.limit_named_per_s is not None
+            if server.advertised_limit_per_s is not None
         ]
-        self.played.poison_arrivals_ms = self._in_order("poison_arrivals_ms")
-        self.played.server_ends_ms = self._in_order("ended_at_ms")
-        return self.played
+        self.play_result.poison_arrivals_ms = self._collect_times("poison_arrivals_ms")
+        self.play_result.server_crashes_ms = self._collect_times("ended_at_ms")
+        return self.play_result
 
-    def _in_order(self, times: str) -> list[int]:
-        """Return all servers' times of one kind, since callers began to come."""
-        began_at_ms = self.played.began_at_ms
+    def _collect_times(self, times: str) -> list[int]:
+        """Return the times in an attribute of all servers, in order.
+
+        They count from the start of the load.
+        """
+        began_at_ms = self.play_result.began_at_ms
         found = [at_ms for server in self.servers for at_ms in getattr(server, times)]
         return sorted(at_ms - began_at_ms for at_ms in found)
 
-    def _make_servers(self) -> list[ModelServer]:
+    def _build_servers(self) -> list[ModelServer]:
         return [
             ModelServer(
                 ServerName(f"{service.name}-{hall}-{number}"),
@@ -153,17 +167,17 @@
         self.entries[hall.name].append(entry)
         self.tasks.start_soon(entry.run)
 
-    async def _let_callers_come(self, tasks: TaskGroup) -> None:
+    async def _run_load_and_faults(self, tasks: TaskGroup) -> None:
         async with anyio.create_task_group() as callers:
             for fault in self.experiment.faults:
-                callers.start_soon(self._strike, fault, tasks)
+                callers.start_soon(self._apply_fault, fault, tasks)
             for number, poison in enumerate(self.experiment.poison):
                 callers.start_soon(self._send_poison, poison, number, callers)
             for hall in self.experiment.halls:
                 for route in self.experiment.routes:
-                    callers.start_soon(self._send_stream, route, hall, callers)
+                    callers.start_soon(self._generate_requests, route, hall, callers)
 
-    async def _send_stream(
+    async def _generate_requests(
         self, route: ModelRoute, hall: DataHall, callers: TaskGroup
     ) -> None:
         rng = random.Random(self.rng.getrandbits(64))
@@ -172,83 +186,99 @@
             for fault in self.experiment.faults
             if fault.kind is FaultKind.SURGE
         ]
-        most = max([1.0, *surges])
-        per_s = route.per_s / len(self.experiment.halls) * most
+        peak_factor = max([1.0, *surges])
+        per_s = route.per_s / len(self.experiment.halls) * peak_factor
         phase = rng.random()
-        for pause_ms, level in arrivals(per_s, self.experiment, phase, rng):
+        for pause_ms, peak_ratio in generate_arrivals(
+            per_s, self.experiment, phase, rng
+        ):
             await anyio.sleep(pause_ms / 1000)
-            if monotonic_ms() - self.played.began_at_ms >= self.experiment.length_ms:
+            if (
+                monotonic_ms() - self.play_result.began_at_ms
+                >= self.experiment.length_ms
+            ):
                 return
-            if rng.random() < level * self.surge / most:
-                callers.start_soon(self._ask, route, hall, rng)
+            if rng.random() < peak_ratio * self.surge_factor / peak_factor:
+                callers.start_soon(self._send_request, route, hall, rng)
 
-    async def _ask(self, route: ModelRoute, hall: DataHall, rng: random.Random) -> None:
-        # The balancer leaves instances without power out.
+    async def _send_request(
+        self, route: ModelRoute, hall: DataHall, rng: random.Random
+    ) -> None:
+        # The load balancer before the entries skips instances without power.
         entries = [entry for entry in self.entries[hall] if not entry.is_dark]
-        result = await ask(self.experiment, route, entries, hall, rng)
-        self.played.results.append(result)
+        result = await send_request(self.experiment, route, entries, hall, rng)
+        self.play_result.results.append(result)
 
     async def _send_poison(
         self, poison: PoisonRequest, number: int, callers: TaskGroup
     ) -> None:
-        """Send one request again and again, each time at another entry."""
+        """Send the same request at a fixed interval, each time to a random entry."""
         rng = random.Random(self.rng.getrandbits(64))
         (route,) = (r for r in self.experiment.routes if r.name == poison.route)
-        path = f"{poison_path(poison, number)}{route.answer_bytes}"
+        path = f"{build_poison_path_prefix(poison, number)}{route.answer_bytes}"
 
         async def send() -> None:
             hall = rng.choice(self.experiment.halls)
             entries = [entry for entry in self.entries[hall] if not entry.is_dark]
-            result = await ask(self.experiment, route, entries, hall, rng, path)
-            self.played.poison_results.append(result)
+            result = await send_request(
+                self.experiment, route, entries, hall, rng, path
+            )
+            self.play_result.poison_results.append(result)
 
         await anyio.sleep(poison.at_ms / 1000)
         for _ in range(poison.at_ms, poison.until_ms, poison.every_ms):
             callers.start_soon(send)
             await anyio.sleep(poison.every_ms / 1000)
 
-    async def _strike(self, fault: Fault, tasks: TaskGroup) -> None:
+    async def _apply_fault(self, fault: Fault, tasks: TaskGroup) -> None:
         await anyio.sleep(fault.at_ms / 1000)
         match fault.kind:
             case FaultKind.POWER_LOSS:
-                await self._cut_power(fault)
+                await self._apply_power_loss(fault)
             case FaultKind.SURGE:
-                self.surge = fault.factor
+                self.surge_factor = fault.factor
                 await anyio.sleep(fault.for_ms / 1000)
-                self.surge = 1.0
+                self.surge_factor = 1.0
             case FaultKind.DARK_SERVERS:
-                await self._change_servers(fault, "is_dark", True, False)
+                await self._set_on_affected_servers(fault, "is_dark", True, False)
             case FaultKind.BUSY_SERVERS:
-                await self._change_servers(fault, "busy_share", fault.factor, 0.0)
+                await self._set_on_affected_servers(
+                    fault, "busy_share", fault.factor, 0.0
+                )
             case FaultKind.LIMITED_SERVERS:
-                await self._change_servers(fault, "limit_per_s", fault.factor, None)
+                await self._set_on_affected_servers(
+                    fault, "limit_per_s", fault.factor, None
+                )
             case FaultKind.SLOW_SERVERS:
-                await self._change_servers(fault, "slowed", fault.factor, 1.0)
+                await self._set_on_affected_servers(fault, "slowed", fault.factor, 1.0)
 
-    async def _change_servers(
+    async def _set_on_affected_servers(
         self, fault: Fault, name: str, during: Any, after: Any
     ) -> None:
-        """Give a field of the servers that a fault strikes another value."""
-        struck = self._struck_servers(fault)
-        for server in struck:
+        """Set an attribute of the affected servers to `during` while the fault lasts.
+
+        Afterwards it is set to `after`.
+        """
+        affected = self._choose_affected_servers(fault)
+        for server in affected:
             setattr(server, name, during)
         await anyio.sleep(fault.for_ms / 1000)
-        for server in struck:
+        for server in affected:
             setattr(server, name, after)
 
-    def _struck_servers(self, fault: Fault) -> list[ModelServer]:
-        fitting = [
+    def _choose_affected_servers(self, fault: Fault) -> list[ModelServer]:
+        candidates = [
             server
             for server in self.servers
             if fault.service in (None, server.service.name)
         ]
-        return self.rng.sample(fitting, round(fault.share * len(fitting)))
+        return self.rng.sample(candidates, round(fault.share * len(candidates)))
 
-    async def _cut_power(self, fault: Fault) -> None:
+    async def _apply_power_loss(self, fault: Fault) -> None:
         alive = [entry for entries in self.entries.values() for entry in entries]
-        struck = self.rng.sample(alive, round(fault.share * len(alive)))
-        for entry in struck:
+        affected = self.rng.sample(alive, round(fault.share * len(alive)))
+        for entry in affected:
             entry.lose_power()
-        await anyio.sleep(fault.for_ms / 1000 + START_S)
-        for entry in struck:
+        await anyio.sleep(fault.for_ms / 1000 + ENTRY_RESTART_S)
+        for entry in affected:
             self._start_entry(entry.hall, entry.name)
--- a/src/cinderway/experiment/_virtual_time.py
+++ b/src/cinderway/experiment/_virtual_time.py
@@ -1,6 +1,6 @@
-"""An event loop whose time runs by itself: from timer to timer, without waiting.
+"""An event loop in virtual time, which jumps from timer to timer without waiting.
 
-What runs on it is the program's own code, unchanged. The same seeds give the same run.
+It runs unmodified production code. The same random seeds give the same run.
 """
 
 import asyncio
@@ -13,36 +13,39 @@
 from cinderway._clock import monotonic_source
 
 NS_PER_S = 1_000_000_000
-# Far from zero: moments before the start count as long ago, as on a real machine.
-STARTS_AT_S = 1_000.0
+# Far from zero, so that a timestamp of 0 lies well in the past, as it does on a real
+# machine.
+START_TIME_S = 1_000.0
 
 
-class _Waitless(selectors.SelectSelector):
-    """Waits for no file: where others would sleep, virtual time moves on."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """A selector that advances virtual time instead of waiting for I/O."""
 
     def __init__(self):
         super().__init__()
-        self.now_s = STARTS_AT_S
+        self.now_s = START_TIME_S
 
     def select(self, timeout: float | None = None) -> list:
-        """Let the time pass that the loop has nothing to do in."""
+        """Advance virtual time to the next timer; no file is ever ready."""
         if timeout is None:
-            raise RuntimeError("every task waits, and no timer is left to end that")
+            raise RuntimeError(
+                "deadlock: every task is waiting and no timer is scheduled"
+            )
         self.now_s += max(timeout, 0.0)
         return []
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self):
-        self._waitless = _Waitless()
-        super().__init__(self._waitless)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._waitless.now_s
+        return self._virtual_selector.now_s
 
 
 def run_in_virtual_time(main: Callable[..., Awaitable[Any]], *args: Any) -> Any:
-    """Run a coroutine function to its end in virtual time; return its result."""
+    """Run a coroutine function to completion in virtual time; return its result."""
     loops: list[_VirtualLoop] = []
 
     def make_loop() -> _VirtualLoop:
@@ -54,5 +57,5 @@
 
 
 def call_later(delay_ms: float, call: Callable[..., None], *args: Any) -> None:
-    """Call a function after a delay, as a message that arrives."""
+    """Call a function after a delay, such as the latency of a simulated message."""
     asyncio.get_running_loop().call_later(delay_ms / 1000, call, *args)
--- a/tests/experiment/_declared.py
+++ b/tests/experiment/_declared.py
@@ -15,12 +15,13 @@
 )
 
 SERVICE = ServiceName("submit")
-# Three in ten servers fail three quarters of their requests for a while.
+# At any time three in ten servers are in a burst, in which they fail three quarters of
+# their requests.
 USERS_BURSTS = Bursts(
     length_ms=2_700, every_ms=9_000, fail_share=0.75, failure=BurstFailure.ERROR
 )
 
-# Four in ten of the servers turn nine in ten requests away, though they have room.
+# Four in ten servers reject nine in ten requests although they have free capacity.
 BUSY_SERVERS = Fault(
     kind=FaultKind.BUSY_SERVERS, at_ms=0, for_ms=60_000, share=0.4, factor=0.9
 )
--- a/tests/experiment/test_declaration.py
+++ b/tests/experiment/test_declaration.py
@@ -37,19 +37,19 @@
         self.assertIs(raised.exception.code, ErrorCode.SETTING_INVALID)
         return raised.exception.detail
 
-    def test_a_file_is_read_with_the_values_that_it_leaves_out(self):
+    def test_missing_fields_get_their_defaults(self):
         found = self.read(TEXT)
         self.assertEqual(found.routes[0].late_worth, 0.5)
         self.assertEqual(found.faults, [])
 
-    def test_a_field_that_nobody_knows_is_named(self):
+    def test_an_unknown_field_is_named(self):
         self.assertIn("halls_", self.refusal("halls", "halls_"))
 
-    def test_a_service_that_is_not_there_is_named_with_those_that_are(self):
+    def test_an_unknown_service_is_named_with_the_known_ones(self):
         detail = self.refusal('service = "lookup"', 'service = "maps"')
         self.assertIn("'maps'; allowed: lookup", detail)
 
-    def test_a_count_of_none_is_refused(self):
+    def test_a_count_of_zero_is_refused(self):
         detail = self.refusal("entries_a_hall = 2", "entries_a_hall = 0")
         self.assertEqual(detail, "entries_a_hall: given 0; allowed: 1 and above")
 
--- a/tests/experiment/test_limits.py
+++ b/tests/experiment/test_limits.py
@@ -1,11 +1,11 @@
-"""A server that names how much it takes gets no more than that from the whole fleet.
+"""A rate limit that a server advertises in its answers binds the whole fleet.
 
-Two of nineteen servers named a limit of 1.5 and of 1 request a second in their answers.
-They got 30 and 32 requests in four seconds, where 14 and 11 were allowed, and no fewer
-than before they spoke. Nobody read the limit. It would not have been enough if each
-entry had: the 32 requests that the logs have of one of them came from 18 entries, three
-at the most from each, so that an entry that held to 1.5 a second by itself would have
-changed nothing. The limit binds all entries together.
+The tests guard against entries that ignore the limit or apply it each by itself. Two
+of nineteen servers advertised limits of 1.5 and of 1 request a second, which entries
+ignored: the servers received 30 and 32 requests in four seconds, where 14 and 11 were
+allowed, and no fewer than before. A limit for each entry would have changed nothing:
+according to the logs, the 32 requests to one of the servers came from 18 entries, at
+most three from each, so that each entry by itself kept to 1.5 a second.
 """
 
 import unittest
@@ -18,9 +18,9 @@
 
 SEED = 1
 LENGTH_MS = 14_000
-NAMED_AT_MS = 2_000
-# The bound as servers are promised it: from three seconds after a server spoke first,
-# in any four seconds, one and a half times what it takes and five requests more.
+ADVERTISED_AT_MS = 2_000
+# The guaranteed bound: from three seconds after a server first advertised a limit, it
+# receives in any four seconds at most 1.5 times the limit, plus five requests.
 SETTLED_MS = 3_000
 WINDOW_MS = 4_000
 EXTRA_REQUESTS = 5
@@ -33,7 +33,7 @@
 def declared(halls, entries_a_hall, limit_per_s, share, **given):
     limited = Fault(
         kind=FaultKind.LIMITED_SERVERS,
-        at_ms=NAMED_AT_MS,
+        at_ms=ADVERTISED_AT_MS,
         for_ms=60_000,
         share=share,
         factor=limit_per_s,
@@ -50,7 +50,7 @@
 
 
 class LimitTests(unittest.TestCase):
-    def assert_kept(self, declared):
+    def assert_limit_kept(self, declared):
         limited = play(declared, SEED).limited_servers
         self.assertTrue(limited)
         for server in limited:
@@ -67,7 +67,7 @@
         }
         for name, case in cases.items():
             with self.subTest(name):
-                self.assert_kept(case)
+                self.assert_limit_kept(case)
 
     def test_a_limit_holds_over_three_hundred_entries(self):
         many = declared(
@@ -79,4 +79,4 @@
             routes=[route(per_s=200)],
             length_ms=9_000,
         )
-        self.assert_kept(many)
+        self.assert_limit_kept(many)
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -1,7 +1,7 @@
-"""Loads at their worst, replayed: what callers get with a mechanism and without it.
+"""Compares callers' results under difficult loads with and without a mechanism.
 
-Each test plays the same seeds twice; without its mechanism the second play is no worse,
-and the test fails.
+Each test simulates the same seeds twice, with one mechanism of the proxy enabled and
+disabled. It fails if disabling the mechanism does not make the results clearly worse.
 """
 
 import unittest
@@ -40,7 +40,7 @@
 
 
 class ManyEntriesTests(unittest.TestCase):
-    """Sixty entries see two requests a second each, and loads some 50 ms late."""
+    """Sixty entries with two requests a second each; loads reach them 50 ms late."""
 
     declared = experiment(
         halls=[DataHall("suva")],
@@ -50,23 +50,23 @@
         routes=[route(per_s=80)],
     )
 
-    def test_entries_do_not_all_run_to_the_server_that_looked_emptiest(self):
+    def test_entries_do_not_all_choose_the_server_with_the_least_reported_load(self):
         peak = replace_field(self.declared, routes=[route(per_s=110)])
         with_sample = missed_share(result_of(peak))
         with patch.object(_choose, "SAMPLE_SIZE", NO_SAMPLE):
             without = missed_share(result_of(peak))
         self.assertLess(with_sample, 0.9 * without)
 
-    def test_what_runs_once_is_kept_from_servers_that_have_just_failed(self):
+    def test_run_once_requests_avoid_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        light = replace(_policies.ONCE_PENALTIES, suspect=2.0)
-        with patch.object(_policies, "ONCE_PENALTIES", light):
+        weak_penalty = replace(_policies.ONCE_PENALTIES, suspect=2.0)
+        with patch.object(_policies, "ONCE_PENALTIES", weak_penalty):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
 
 
 class HangingServersTests(unittest.TestCase):
-    """Servers hang in bursts under load; what hangs holds slots, and tells nothing."""
+    """Requests hang in bursts under load; they hold slots but report no load."""
 
     declared = experiment(
         halls=[DataHall("suva"), DataHall("nadi")],
@@ -78,7 +78,7 @@
         routes=[route(per_s=40, objective_ms=600, timeout_ms=1_250, deadline_ms=2_500)],
     )
 
-    def test_requests_that_hang_count_as_load_after_the_last_word_has_faded(self):
+    def test_hanging_requests_count_as_load_after_the_reported_load_has_decayed(self):
         with_in_flight = result_of(self.declared)
         with patch.object(ServerState, "load_at", ServerState.told_load_at):
             without = result_of(self.declared)
@@ -86,9 +86,9 @@
 
 
 class FewServersAHallTests(unittest.TestCase):
-    """Three servers a hall that hang in bursts: requests have to leave their hall."""
+    """Only three servers a hall, hanging in bursts: requests must go to other halls."""
 
-    # With nine servers each burst weighs much: more seeds are played.
+    # With only nine servers a single burst has a large effect, so use more seeds.
     seeds = range(20, 28)
     declared = experiment(
         halls=[DataHall("suva"), DataHall("nadi"), DataHall("lautoka")],
@@ -108,15 +108,15 @@
         ],
     )
 
-    def test_halls_that_tell_each_other_what_is_under_way_choose_better(self):
-        told = missed_share(result_of(self.declared, self.seeds))
+    def test_halls_that_share_their_requests_in_flight_choose_better(self):
+        shared = missed_share(result_of(self.declared, self.seeds))
         with patch.object(_hall_news, "AFAR_PAUSE_S", NEVER_S):
-            untold = missed_share(result_of(self.declared, self.seeds))
-        self.assertLess(told, 0.9 * untold)
+            unshared = missed_share(result_of(self.declared, self.seeds))
+        self.assertLess(shared, 0.9 * unshared)
 
 
 class OverloadTests(unittest.TestCase):
-    """Half as much again arrives as slots finish, before servers that queue it."""
+    """Load of 1.5 times the capacity of the servers, which queue the excess."""
 
     seeds = SEEDS[:2]
     declared = experiment(
@@ -136,15 +136,15 @@
         faults=[Fault(FaultKind.SURGE, at_ms=3_000, for_ms=8_000, factor=2.4)],
     )
 
-    def test_what_would_only_lengthen_queues_is_turned_away_at_once(self):
+    def test_requests_that_would_only_lengthen_queues_are_rejected_at_once(self):
         with_refusals = missed_share(result_of(self.declared, self.seeds))
         with patch.object(_slots, "is_hopeless", return_value=False):
             without = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(with_refusals, 0.85 * without)
 
 
-class FewSecondTriesTests(unittest.TestCase):
-    """Servers of a busy service fail in bursts, and second tries are rationed."""
+class SmallRetryBudgetTests(unittest.TestCase):
+    """Servers of a busy service fail in bursts while the retry budget is small."""
 
     declared = experiment(
         halls=[DataHall("suva")],
@@ -155,9 +155,9 @@
         retry_burst=0.5,
     )
 
-    def test_first_tries_are_kept_from_servers_that_have_just_failed(self):
+    def test_first_attempts_avoid_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        light = replace(_policies.REPEATABLE_PENALTIES, suspect=1.5)
-        with patch.object(_policies, "REPEATABLE_PENALTIES", light):
+        weak_penalty = replace(_policies.REPEATABLE_PENALTIES, suspect=1.5)
+        with patch.object(_policies, "REPEATABLE_PENALTIES", weak_penalty):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
--- a/tests/experiment/test_poison.py
+++ b/tests/experiment/test_poison.py
@@ -1,16 +1,17 @@
-"""A request that ends every server which runs it stops being sent; all others go on.
+"""A request that crashes every server which runs it is blocked; others are served.
 
-One status read ended each server that began to run it, some 90 ms after it had begun,
-and its caller sent it again and again, each time to another entry. Every entry took it
-for a new request: it blamed the server, sent it on to a second one, and answered 502.
-Of nine servers of the service most were down for as long as that lasted; 31 ended in
-18 s, and half of all other reads were not answered in time. Entries logged
+The tests guard against entries that treat each repeat of such a request as new. A
+status read crashed each server about 90 ms after it started to run it, and its caller
+kept sending it, each time to another entry. Every entry blamed the server, retried the
+request on a second one and answered 502. Most of the service's nine servers were down
+the whole time, there were 31 crashes in 18 s, and half of all other reads were not
+answered in time. Entries logged
 
     request R: failed in 120 ms; ... servers S; [backend-failed]
     the attempt failed: Server disconnected without sending a response.
 
-for it as for all that had been under way beside it. Nothing remembered under which
-request a server had ended.
+for it as well as for all requests that were in progress on the same server. Nothing
+recorded which request a server was running when it crashed.
 """
 
 import unittest
@@ -26,9 +27,9 @@
 from ._declared import experiment, route, service
 
 SEED = 1
-# How long it may take until all entries know under which request servers have ended.
-KNOWN_WITHIN_MS = 3_000
-# Of one request, when that time is over.
+# How long it may take until all entries know which request the servers crashed on.
+PROPAGATION_MS = 3_000
+# How often the request may still reach servers after that time.
 SENDS_ALLOWED = 3
 
 READS = route(
@@ -54,38 +55,42 @@
 
 
 @cache
-def played():
+def play_result():
     return play(declared(), SEED)
 
 
-def other():
-    """Return a second such request, which comes at the same time."""
+def second_poison():
+    """Return a second poison request, sent 40 ms after each of the first."""
     return replace(POISON, at_ms=POISON.at_ms + 40)
 
 
-def served_share(played_once):
-    (result,) = by_route([played_once])
+def served_share(one_play):
+    (result,) = by_route([one_play])
     return result.share(Outcome.IN_TIME)
 
 
 class PoisonRequestTests(unittest.TestCase):
-    def test_a_request_under_which_three_servers_ended_is_not_sent_again(self):
-        third_end_ms = played().server_ends_ms[2]
+    def test_a_request_that_crashed_three_servers_is_not_sent_again(self):
+        third_end_ms = play_result().server_crashes_ms[2]
         late = [
             at_ms
-            for at_ms in played().poison_arrivals_ms
-            if at_ms > third_end_ms + KNOWN_WITHIN_MS
+            for at_ms in play_result().poison_arrivals_ms
+            if at_ms > third_end_ms + PROPAGATION_MS
         ]
         self.assertLessEqual(len(late), SENDS_ALLOWED)
 
-    def test_few_servers_end_and_innocent_requests_are_served(self):
-        """In place of 31 servers and 78.2% of the reads."""
-        self.assertLessEqual(len(played().server_ends_ms), 4)
-        self.assertGreater(served_share(played()), 0.99)
-
-    def test_a_read_that_is_asked_for_all_the_time_is_served_on(self):
-        """All reads are of three kinds: each is under way at all servers that end."""
-        hot = replace(READS, distinct=3)
-        hot_played = play(declared(routes=[hot], poison=[POISON, other()]), SEED)
-        self.assertGreater(served_share(hot_played), 0.98)
-        self.assertLessEqual(len(hot_played.server_ends_ms), 8)
+    def test_few_servers_crash_and_other_requests_are_served(self):
+        """Before, 31 servers crashed and only 78.2% of the reads were served."""
+        self.assertLessEqual(len(play_result().server_crashes_ms), 4)
+        self.assertGreater(served_share(play_result()), 0.99)
+
+    def test_reads_in_progress_on_every_crashed_server_are_still_served(self):
+        """There are only three different reads, so that each of them is in progress on
+        every server that crashes and could be blamed for it.
+        """
+        frequent_reads = replace(READS, distinct=3)
+        frequent_result = play(
+            declared(routes=[frequent_reads], poison=[POISON, second_poison()]), SEED
+        )
+        self.assertGreater(served_share(frequent_result), 0.98)
+        self.assertLessEqual(len(frequent_result.server_crashes_ms), 8)
--- a/tests/experiment/test_pushback.py
+++ b/tests/experiment/test_pushback.py
@@ -1,10 +1,11 @@
-"""Servers that turn requests away have nothing to do, and look emptiest of all.
-
-Six of nineteen servers turned their requests away. Each entry found that out by itself,
-again and again, and the load that these servers told drew everybody to them: they got
-548 of 733 arrivals in nine seconds, and 352 of 515 payouts were refused, while the
-other thirteen had room for three times the work. What one entry is told by such a
-server the hall has to avoid.
+"""Entries tell their whole data hall about servers that reject requests.
+
+The tests guard against each entry finding out about such servers by itself, again and
+again. A server that rejects requests reports little load, so load balancing prefers it.
+When six of nineteen servers rejected requests, they received 548 of 733 requests in
+nine seconds, and 352 of 515 payouts were refused, while the other thirteen servers had
+capacity for three times the load. What one entry learns from such a server, all entries
+of the hall have to act on.
 """
 
 import unittest
@@ -40,23 +41,23 @@
 
 
 class BusyServersTests(unittest.TestCase):
-    def assert_telling_pays(self, experiment):
-        with_telling = refused_share(experiment)
+    def assert_sharing_reduces_refusals(self, experiment):
+        with_sharing = refused_share(experiment)
         with patch.object(CatalogBoard, "_note_turned_away"):
             without = refused_share(experiment)
-        self.assertLess(with_telling, 0.5 * without)
+        self.assertLess(with_sharing, 0.5 * without)
 
-    def test_the_hall_avoids_servers_that_ask_for_rest(self):
-        self.assert_telling_pays(declared(rest_ms=3_000))
+    def test_the_hall_avoids_servers_that_send_retry_after(self):
+        self.assert_sharing_reduces_refusals(declared(rest_ms=3_000))
 
-    def test_the_hall_avoids_servers_that_turn_requests_away_without_a_word(self):
-        self.assert_telling_pays(declared(rest_ms=0))
+    def test_the_hall_avoids_servers_that_reject_requests_without_retry_after(self):
+        self.assert_sharing_reduces_refusals(declared(rest_ms=0))
 
 
 class ModelTests(unittest.TestCase):
-    def test_a_burst_in_which_servers_ask_for_rest_fails_no_run(self):
+    def test_rejections_in_a_burst_are_not_failures(self):
         bursts = replace(USERS_BURSTS, failure=BurstFailure.BUSY)
         busy = service(servers_a_hall=4, rest_ms=1_000, bursts=bursts)
-        played = play(declared(0, services=[busy], faults=[]), SEEDS[0])
-        self.assertGreater(played.turned_away, 0)
-        self.assertEqual(by_route([played])[0].share(Outcome.FAILED), 0)
+        play_result = play(declared(0, services=[busy], faults=[]), SEEDS[0])
+        self.assertGreater(play_result.rejected, 0)
+        self.assertEqual(by_route([play_result])[0].share(Outcome.FAILED), 0)
--- a/tests/experiment/test_servers.py
+++ b/tests/experiment/test_servers.py
@@ -6,7 +6,13 @@
 from cinderway._clock import monotonic_ms
 from cinderway._ids import Address, DataHall, ServerName
 from cinderway.experiment._declaration import BurstFailure, Bursts
-from cinderway.experiment._servers import FAILED, OK, REFUSED, TIMED_OUT, ModelServer
+from cinderway.experiment._servers import (
+    GATEWAY_TIMEOUT,
+    INTERNAL_SERVER_ERROR,
+    OK,
+    SERVICE_UNAVAILABLE,
+    ModelServer,
+)
 from cinderway.experiment._virtual_time import run_in_virtual_time
 
 from ._declared import service
@@ -27,7 +33,7 @@
             answers = [None] * requests
 
             async def ask(number):
-                # The later ones' time passes first.
+                # Later requests have earlier deadlines.
                 until_ms = monotonic_ms() + deadline_ms - number
                 answers[number] = await server.answer(until_ms)
 
@@ -41,16 +47,16 @@
 
     def test_it_runs_what_its_slots_and_queue_hold_and_sheds_the_rest(self):
         statuses = self.answers(6, slots=2, queue=3)
-        self.assertEqual(statuses, [OK] * 5 + [REFUSED])
+        self.assertEqual(statuses, [OK] * 5 + [SERVICE_UNAVAILABLE])
 
     def test_a_request_whose_time_passes_in_the_queue_is_not_run(self):
         statuses = self.answers(2, deadline_ms=100, slots=1, work_ms=5_000)
-        self.assertEqual(statuses, [TIMED_OUT, REFUSED])
+        self.assertEqual(statuses, [GATEWAY_TIMEOUT, SERVICE_UNAVAILABLE])
 
     def test_in_a_burst_requests_fail_at_once_or_hang(self):
         for failure, status in (
-            (BurstFailure.ERROR, FAILED),
-            (BurstFailure.HANG, TIMED_OUT),
+            (BurstFailure.ERROR, INTERNAL_SERVER_ERROR),
+            (BurstFailure.HANG, GATEWAY_TIMEOUT),
         ):
             with self.subTest(failure):
                 bursts = Bursts(
--- a/tests/experiment/test_virtual_time.py
+++ b/tests/experiment/test_virtual_time.py
@@ -8,7 +8,7 @@
 
 
 class VirtualTimeTests(unittest.TestCase):
-    def test_hours_pass_at_once_and_all_clocks_agree(self):
+    def test_hours_pass_without_waiting_and_all_clocks_agree(self):
         async def main():
             began_ms = monotonic_ms()
             await anyio.sleep(7_200)
@@ -27,14 +27,14 @@
 
         self.assertEqual(run_in_virtual_time(main), [10, 20])
 
-    def test_a_program_that_waits_for_nothing_ends_with_an_error(self):
+    def test_a_deadlock_raises_an_error(self):
         async def main():
             await anyio.Event().wait()
 
         with self.assertRaises(RuntimeError):
             run_in_virtual_time(main)
 
-    def test_afterwards_time_is_the_machines_again(self):
+    def test_real_time_is_restored_afterwards(self):
         async def main():
             await anyio.sleep(1_000_000)
 
