--- a/src/cinderway/reports/__init__.py
+++ b/src/cinderway/reports/__init__.py
@@ -1,4 +1,9 @@
-"""What operators ask of entries: service-level burn, and who was ejected and why."""
+"""Reports to operators, from entries and their logs.
+
+Entries report how fast services use up their error budgets, and which servers were
+ejected and why. Their logs tell why requests failed, and how failures of a server
+follow each other.
+"""
 
 from cinderway.reports._conversation import (
     REPORT,
--- a/src/cinderway/reports/_conversation.py
+++ b/src/cinderway/reports/_conversation.py
@@ -1,4 +1,4 @@
-"""The conversation between operators and entries."""
+"""The report protocol between operators and entries."""
 
 from enum import Enum
 
@@ -7,11 +7,11 @@
 
 
 class ReadLevels(Message, frozen=True):
-    """Ask for the service levels of the last days."""
+    """Request the service levels; the longest window is three days."""
 
 
 class WindowCount(Message, frozen=True):
-    """Requests of a window, and how many of them missed the objective."""
+    """The requests in a time window, and how many of them missed the objective."""
 
     window_s: int
     requests: int
@@ -19,7 +19,7 @@
 
 
 class ServiceLevel(Message, frozen=True):
-    """One service's windows, beside its objective."""
+    """One service's objective, and its requests in each window."""
 
     service: ServiceName
     objective_percent: float
@@ -27,18 +27,18 @@
 
 
 class LevelsAnswer(Message, frozen=True):
-    """All services on one entry."""
+    """The service levels of all services, as counted by one entry."""
 
     entry: EntryName
     services: list[ServiceLevel]
 
 
 class ReadEjections(Message, frozen=True):
-    """Ask for the last ejections."""
+    """Request the latest ejections and reinstatements of backend servers."""
 
 
 class Happening(Enum):
-    """What happened to a backend server on an entry."""
+    """A change of a backend server's ejection state on an entry."""
 
     EJECTED = "ejected"
     TAKEN_BACK = "taken back"
@@ -46,7 +46,7 @@
 
 
 class EjectionEvent(Message, frozen=True):
-    """One change, with the evidence that brought it about."""
+    """One change of a server's ejection state, with the evidence that caused it."""
 
     service: ServiceName
     server: ServerName
@@ -57,7 +57,7 @@
 
 
 class EjectionsAnswer(Message, frozen=True):
-    """The last changes on one entry, oldest first."""
+    """The latest ejection events on one entry, oldest first."""
 
     entry: EntryName
     events: list[EjectionEvent]
--- a/src/cinderway/reports/_levels.py
+++ b/src/cinderway/reports/_levels.py
@@ -1,4 +1,7 @@
-"""Count requests over several windows in little memory. Pure: time is passed in."""
+"""Counts requests over several sliding windows in bounded memory.
+
+Does no I/O; the time is passed in.
+"""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,8 +9,8 @@
 MINUTE_S = 60
 HOUR_S = 3600
 WINDOWS_S = (5 * MINUTE_S, HOUR_S, 6 * HOUR_S, 72 * HOUR_S)
-# Each window moves on in this many steps, so it is exact to one part of them.
-STEPS = 60
+# Each window advances in 60 steps, so its length is exact to one 60th.
+STEPS_PER_WINDOW = 60
 FULL_PERCENT = 100.0
 
 
@@ -20,27 +23,30 @@
 
 @dataclass
 class LevelCounter:
-    """One service's requests on one entry."""
+    """Counts one service's requests on one entry, by window.
+
+    Each window keeps a bucket for each of its steps in which requests ended.
+    """
 
     _buckets: dict[int, deque[_Bucket]] = field(
         default_factory=lambda: {window_s: deque() for window_s in WINDOWS_S}
     )
 
     def count(self, is_missed: bool, now_ms: int) -> None:
-        """Note a request that kept or missed the objective."""
+        """Record a request that met or missed the objective."""
         for window_s, buckets in self._buckets.items():
             step = _step(window_s, now_ms)
             if not buckets or buckets[-1].step != step:
                 buckets.append(_Bucket(step))
-                _drop_old(buckets, step)
+                _drop_expired(buckets, step)
             buckets[-1].requests += 1
             buckets[-1].missed += is_missed
 
     def read(self, now_ms: int) -> dict[int, tuple[int, int]]:
-        """Return requests and missed ones by window in s."""
+        """Return the counts of all and of missed requests, keyed by the window in s."""
         found = {}
         for window_s, buckets in self._buckets.items():
-            _drop_old(buckets, _step(window_s, now_ms))
+            _drop_expired(buckets, _step(window_s, now_ms))
             requests = sum(bucket.requests for bucket in buckets)
             missed = sum(bucket.missed for bucket in buckets)
             found[window_s] = (requests, missed)
@@ -48,9 +54,10 @@
 
 
 def burn_rate(requests: int, missed: int, objective_percent: float) -> float:
-    """Return how many times faster than allowed the error budget is being used.
+    """Return the error budget's burn rate: the share of misses over the allowed share.
 
-    1.0 uses it up exactly over the objective's period; 0 without requests.
+    A constant rate of 1.0 uses the budget up exactly over the objective's period. It is
+    0 without requests.
     """
     if not requests:
         return 0.0
@@ -59,9 +66,9 @@
 
 
 def _step(window_s: int, now_ms: int) -> int:
-    return now_ms * STEPS // (window_s * 1000)
+    return now_ms * STEPS_PER_WINDOW // (window_s * 1000)
 
 
-def _drop_old(buckets: deque[_Bucket], step: int) -> None:
-    while buckets and buckets[0].step <= step - STEPS:
+def _drop_expired(buckets: deque[_Bucket], step: int) -> None:
+    while buckets and buckets[0].step <= step - STEPS_PER_WINDOW:
         buckets.popleft()
--- a/src/cinderway/reports/_request_line.py
+++ b/src/cinderway/reports/_request_line.py
@@ -1,13 +1,13 @@
-"""The log line with which each request ends: written by entries, read by reports."""
+"""The log line that ends each request: entries write it, reports parse it."""
 
 import re
 from dataclasses import dataclass
 from urllib.parse import quote, unquote
 
 NONE = "none"
-# Signs of an account's name that stand in the line as they are.
-NAME_SIGNS = "-_.~@:+"
-PATTERN = re.compile(
+# Punctuation in an account's name that is not percent-encoded in the line.
+UNQUOTED_NAME_CHARACTERS = "-_.~@:+"
+REQUEST_LINE_PATTERN = re.compile(
     r"(?:^|[ :\"])request (?P<name>\S+): (?P<outcome>\S+) in (?P<duration_ms>\d+) ms; "
     r"route (?P<route>\S+), service (?P<service>\S+), servers (?P<servers>\S+), "
     r"catalog (?P<revision>\d+) known (?P<age_ms>-?\d+) ms ago"
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True)
 class RequestLine:
-    """What became of one request, and what the entry knew when it ended.
+    """One request's outcome, and the state of the entry's catalog when it ended.
 
-    `age_ms` is how old the entry's catalog may have been. `code` and `step` are empty
-    where the answer was a backend server's own.
+    `revision` is the catalog's, and `age_ms` the time since the entry last knew it to
+    be current. `code` and `step` are those of the error, and empty if the answer came
+    from a backend server.
     """
 
     name: str
@@ -37,19 +38,19 @@
     account: str = NONE
 
     def __str__(self) -> str:
-        """Return the line's text, without the error."""
+        """Format the log line, without the error."""
         return (
             f"request {self.name}: {self.outcome} in {self.duration_ms} ms; "
             f"route {self.route}, service {self.service}, "
             f"servers {','.join(self.servers) or NONE}, "
             f"catalog {self.revision} known {self.age_ms} ms ago, "
-            f"account {quote(self.account, safe=NAME_SIGNS)}"
+            f"account {quote(self.account, safe=UNQUOTED_NAME_CHARACTERS)}"
         )
 
 
 def parse_request_line(text: str) -> RequestLine | None:
-    """Return what a log line says of a request's end; None if it is another line."""
-    found = PATTERN.search(text)
+    """Parse a log line; None if it is not the closing line of a request."""
+    found = REQUEST_LINE_PATTERN.search(text)
     if found is None:
         return None
     servers = found["servers"]
--- a/src/cinderway/reports/_server_runs.py
+++ b/src/cinderway/reports/_server_runs.py
@@ -1,7 +1,7 @@
-"""Say what an outcome at a server tells of the next request there. Pure.
+"""Relates each request's outcome to the previous outcome on the same server.
 
-Servers fail in bursts: whoever looks at a log wants to know how often a request met a
-server that was known to fail, and how long before.
+Servers fail in bursts. The statistics show how often a request was sent to a server
+that had just failed another one, and how long before. Does no I/O.
 """
 
 import re
@@ -14,16 +14,20 @@
 from cinderway.reports._losses import ANSWERED
 from cinderway.reports._request_line import RequestLine, parse_request_line
 
-LOGGED_AT = re.compile(r"\d{4}-\d\d-\d\d[ T]\d\d:\d\d:\d\d[,.]\d{3}")
-# Upper ends of the times between an outcome and the next request, in ms: shorter than
-# a request takes, than a suspicion lasts, and longer.
+TIMESTAMP_PATTERN = re.compile(r"\d{4}-\d\d-\d\d[ T]\d\d:\d\d:\d\d[,.]\d{3}")
+# Upper bounds, in ms, of the classes of time between an outcome and the next request:
+# below the first, shorter than a request takes; below the second, shorter than a server
+# stays suspected after a failure; the last class has no bound.
 GAPS_MS = (500, 2_000)
 FAILED = "failed"
 
 
 @dataclass(frozen=True)
 class ServerRun:
-    """One request that went to one server alone, by its entry's clock."""
+    """One request that was sent to a single server, in its entry's clock.
+
+    `is_good`: it was answered.
+    """
 
     service: str
     server: str
@@ -34,20 +38,25 @@
 
 @dataclass
 class Followed:
-    """Requests that came after an outcome: how many, and how many of them failed."""
+    """How many requests followed a kind of outcome, and how many of them failed."""
 
     count: int = 0
     failed: int = 0
 
     @property
     def failed_percent(self) -> float:
-        """Share of them that failed."""
+        """The percentage of them that failed; 0 without any."""
         return 100 * self.failed / self.count if self.count else 0.0
 
 
 @dataclass
 class ServiceRuns:
-    """One service's runs; `followed` is keyed by the last outcome and the gap."""
+    """One service's runs by server, and what followed which outcome.
+
+    `followed` is keyed by whether the server's previous outcome was good and by the
+    index of the gap since then in GAPS_MS; an index beyond its end is a longer gap.
+    `first` counts requests that began before any outcome of their server was known.
+    """
 
     runs: dict[str, list[ServerRun]] = field(default_factory=lambda: defaultdict(list))
     followed: dict[tuple[bool, int], Followed] = field(
@@ -57,12 +66,13 @@
 
 
 def parse_run(text: str) -> ServerRun | None:
-    """Return what a log line says of a server; None if it says nothing for sure.
+    """Parse a log line; None if it does not give the outcome at one certain server.
 
-    A request that went to several servers does not tell which of them failed it.
+    The line of a request that was sent to several servers does not tell which of them
+    failed it.
     """
-    line, logged_at = parse_request_line(text), LOGGED_AT.search(text)
-    if line is None or logged_at is None or not _tells_of_server(line):
+    line, logged_at = parse_request_line(text), TIMESTAMP_PATTERN.search(text)
+    if line is None or logged_at is None or not _is_outcome_of_one_server(line):
         return None
     ended_at = datetime.fromisoformat(logged_at[0].replace(",", "."))
     ended_at_ms = round((ended_at - datetime(1970, 1, 1)).total_seconds() * 1000)
@@ -75,22 +85,22 @@
     )
 
 
-def _tells_of_server(line: RequestLine) -> bool:
+def _is_outcome_of_one_server(line: RequestLine) -> bool:
     return len(line.servers) == 1 and line.outcome in (ANSWERED, FAILED)
 
 
 def runs_by_service(runs: Iterable[ServerRun]) -> dict[str, ServiceRuns]:
-    """Return each service's runs, and what followed which outcome."""
+    """Group runs by service, and count what followed which outcome."""
     services: dict[str, ServiceRuns] = defaultdict(ServiceRuns)
     for run in runs:
         services[run.service].runs[run.server].append(run)
     for service in services.values():
-        for of_server in service.runs.values():
-            _count(service, of_server)
+        for server_runs in service.runs.values():
+            _count_following(service, server_runs)
     return dict(services)
 
 
-def _count(service: ServiceRuns, runs: list[ServerRun]) -> None:
+def _count_following(service: ServiceRuns, runs: list[ServerRun]) -> None:
     by_end = sorted(runs, key=lambda run: run.ended_at_ms)
     ends_ms = [run.ended_at_ms for run in by_end]
     for run in sorted(runs, key=lambda run: run.began_at_ms):
--- a/tests/reports/test_levels.py
+++ b/tests/reports/test_levels.py
@@ -7,7 +7,7 @@
 
 class LevelTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.integers(0, 600_000), st.booleans()), max_size=60))
-    def test_each_window_counts_what_falls_into_it(self, requests):
+    def test_each_window_counts_the_requests_in_it(self, requests):
         counter = LevelCounter()
         requests.sort()
         for at_ms, is_missed in requests:
@@ -15,9 +15,11 @@
         now_ms = 600_000
         for window_s, (count, _) in counter.read(now_ms).items():
             step_ms = window_s * 1000 // 60
-            surely = sum(now_ms - at < window_s * 1000 - step_ms for at, _ in requests)
-            perhaps = sum(now_ms - at <= window_s * 1000 for at, _ in requests)
-            self.assertTrue(surely <= count <= perhaps)
+            min_count = sum(
+                now_ms - at < window_s * 1000 - step_ms for at, _ in requests
+            )
+            max_count = sum(now_ms - at <= window_s * 1000 for at, _ in requests)
+            self.assertTrue(min_count <= count <= max_count)
 
     def test_old_requests_leave_every_window(self):
         counter = LevelCounter()
--- a/tests/reports/test_losses.py
+++ b/tests/reports/test_losses.py
@@ -31,7 +31,7 @@
         found = parse_request_line(text)
         self.assertEqual((found.code, found.step), ("deadline-passed", "await-answer"))
 
-    def test_other_lines_are_passed_over(self):
+    def test_other_lines_are_skipped(self):
         self.assertIsNone(parse_request_line("in force: catalog 7, sheet version 3"))
 
 
--- a/tests/reports/test_server_runs.py
+++ b/tests/reports/test_server_runs.py
@@ -1,4 +1,4 @@
-"""How requests ended by what was known of their server."""
+"""Outcomes of requests by the previous outcome known of their server."""
 
 import unittest
 from dataclasses import replace
@@ -20,18 +20,18 @@
 
 
 class ParseTests(unittest.TestCase):
-    def test_a_request_at_one_server_tells_when_it_began_and_how_it_ended(self):
+    def test_a_request_at_one_server_gives_its_begin_and_outcome(self):
         found = parse_run(f"{LOGGED}{LINE}\n")
         self.assertEqual(found.ended_at_ms - found.began_at_ms, 40)
         self.assertEqual(found.ended_at_ms % 60_000, 10_500)
         self.assertFalse(found.is_good)
 
-    def test_a_request_at_two_servers_or_at_none_tells_of_neither(self):
+    def test_a_request_at_two_servers_or_at_none_is_skipped(self):
         for servers in ((), ("i-1", "i-2")):
             line = replace(LINE, servers=servers)
             self.assertIsNone(parse_run(f"{LOGGED}{line}"))
 
-    def test_a_caller_that_left_and_a_line_without_a_time_tell_nothing(self):
+    def test_a_caller_that_left_and_a_line_without_a_timestamp_are_skipped(self):
         self.assertIsNone(parse_run(f"{LOGGED}{replace(LINE, outcome='caller-left')}"))
         self.assertIsNone(parse_run(str(LINE)))
 
@@ -42,7 +42,7 @@
         self.assertEqual(first, (1, 1))
         self.assertEqual(counts, {(False, 1): (1, 0), (True, 0): (1, 0)})
 
-    def test_what_was_still_under_way_when_it_began_was_not_known(self):
+    def test_runs_still_in_progress_when_it_began_do_not_count(self):
         first, counts = followed(run(0, False, took_ms=50), run(20, False))
         self.assertEqual((first, counts), ((2, 2), {}))
 
@@ -50,6 +50,6 @@
         first, counts = followed(run(0, False), run(9_000, True, server="i-2"))
         self.assertEqual((first, counts), ((2, 1), {}))
 
-    def test_long_after_is_told_apart(self):
+    def test_a_long_gap_is_counted_separately(self):
         _, counts = followed(run(0, False), run(5_000, False))
         self.assertEqual(counts, {(False, 2): (1, 1)})
