--- a/src/cinderway/experiment/_callers.py
+++ b/src/cinderway/experiment/_callers.py
@@ -86,8 +86,8 @@
 
     A refused request is retried after the time in the answer's Retry-After header, or
     at once without one, if the route has retries left and the caller's deadline has not
-    passed by then. If no entry is alive, the caller waits until its deadline. `path` replaces the path that is
-    otherwise drawn for the route.
+    passed by then. If no entry is alive, the caller waits until its deadline. `path`
+    replaces the path that is otherwise drawn for the route.
     """
     path = path or _choose_path(route, rng)
     sent_at_ms = monotonic_ms()
--- a/src/cinderway/experiment/_declaration.py
+++ b/src/cinderway/experiment/_declaration.py
@@ -43,7 +43,7 @@
     The work of a request takes `work_ms` on average, log-normally distributed with
     `work_spread` as the standard deviation of its logarithm. A server runs up to
     `slots` requests concurrently, queues up to `queue` more and rejects the rest.
-    Besides the failures in bursts, a share `error_share` of the requests that ran fails.
+    Besides the failures in bursts, a share `error_share` of the requests run fails.
     """
 
     name: ServiceName
