--- a/src/cinderway/entry/fleet/__init__.py
+++ b/src/cinderway/entry/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What an entry says to control and to other entries, and hears from them."""
+"""The entry's communication with control, with assessors and with other entries."""
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -1,4 +1,7 @@
-"""This entry as an assessor: takes other entries' reports and sends them sheets."""
+"""The assessor role of an entry.
+
+Receives evidence reports from other entries and sends them verdict sheets.
+"""
 
 import logging
 from dataclasses import dataclass, field
@@ -28,11 +31,13 @@
 
 logger = logging.getLogger(__name__)
 
-# At bad news it decides at once.
-DECIDE_PAUSE_S = 0.1
-GATHER_S = 0.01
-# A sheet goes out at a change, and this often besides: leases need renewing.
-SHEET_PAUSE_MS = 500
+# Longest time between two decisions; a report of a failure triggers one at once.
+DECIDE_INTERVAL_S = 0.1
+# Delay before a decision, so that reports that arrive together are judged together.
+BATCH_DELAY_S = 0.01
+# A sheet is sent when verdicts change, and at least this often, to renew its leases.
+SHEET_INTERVAL_MS = 500
+# Traffic shares are compared rounded to this step: small changes trigger no sheet.
 SHARE_STEP = 0.05
 
 
@@ -47,38 +52,38 @@
 
 
 class AssessorServer:
-    """Serves the judgement conversation."""
+    """Serves the judgement conversation: the protocol of entries with assessors."""
 
     def __init__(self, board: Blackboard):
         self.assessor = Assessor(board.name)
         self.tally = PoisonTally()
-        # Rulings on requests that the entries here are to be told of.
-        self._rulings: list[Ruling] = []
-        # The rates that servers name, as entries tell them.
+        # Rulings on requests that are still to be sent to the connected entries.
+        self._unsent_rulings: list[Ruling] = []
+        # The rate limits that backend servers ask for, as entries report them.
         self._limits = LimitRecord()
-        self._untold_limits: set[ServerName] = set()
+        self._unsent_limits: set[ServerName] = set()
         self._board = board
         self._sessions: set[_Session] = set()
-        self._bad_news = anyio.Event()
+        self._decide_now = anyio.Event()
 
     @property
     def route(self) -> Route:
-        """What serves the entries' connections."""
+        """The route that serves the connections of reporting entries."""
         return Route(JUDGEMENT, self._serve)
 
     async def run(self) -> None:
         """Decide and send sheets until cancelled."""
         while True:
-            with anyio.move_on_after(DECIDE_PAUSE_S):
-                await self._bad_news.wait()
-            self._bad_news = anyio.Event()
-            # Reports of the same moment are judged together.
-            await anyio.sleep(GATHER_S)
+            with anyio.move_on_after(DECIDE_INTERVAL_S):
+                await self._decide_now.wait()
+            self._decide_now = anyio.Event()
+            # Let reports of the same moment arrive, so that they are judged together.
+            await anyio.sleep(BATCH_DELAY_S)
             if not self._sessions:
                 continue
             now_ms = monotonic_ms()
-            await self._tell_rulings(now_ms)
-            await self._tell_limits(now_ms)
+            await self._send_rulings(now_ms)
+            await self._send_limits(now_ms)
             views = self.assessor.decide(self._board.table, now_ms)
             for session in list(self._sessions):
                 await self._send_if_due(session, views.get(session.group), now_ms)
@@ -88,70 +93,72 @@
         session.reporter.first_heard_at_ms = monotonic_ms()
         self._sessions.add(session)
         try:
-            # An entry that has just started knows of no limit.
+            # An entry that has just started knows no limits yet.
             now_ms = monotonic_ms()
             await connection.send(ServerLimits.of(self._limits.held(now_ms), now_ms))
             while True:
                 envelope = await connection.receive()
                 match envelope.message:
                     case EvidenceReport() as report:
-                        self._take(session, report)
+                        self._receive_report(session, report)
                     case RequestRuns() as runs:
-                        self._note(self.tally.note_runs(runs, monotonic_ms()))
-                    case RequestRulings() as told:
-                        self._note(self.tally.learn_all(told, monotonic_ms()))
-                    case ServerLimits() as told:
-                        self._learn_limits(told)
+                        self._queue_rulings(self.tally.note_runs(runs, monotonic_ms()))
+                    case RequestRulings() as rulings:
+                        self._queue_rulings(
+                            self.tally.learn_all(rulings, monotonic_ms())
+                        )
+                    case ServerLimits() as limits:
+                        self._receive_limits(limits)
         finally:
             self._sessions.discard(session)
 
-    def _take(self, session: _Session, report: EvidenceReport) -> None:
+    def _receive_report(self, session: _Session, report: EvidenceReport) -> None:
         session.group = report.group
         session.report_sequence = report.sequence
         self.assessor.take(report, session.reporter, self._board.table, monotonic_ms())
         if any(evidence.bad for evidence in report.servers):
-            self._bad_news.set()
+            self._decide_now.set()
 
-    def _note(self, rulings: list[Ruling]) -> None:
-        """Keep rulings for the next telling."""
+    def _queue_rulings(self, rulings: list[Ruling]) -> None:
+        """Queue rulings for the next send to all entries."""
         for ruling in rulings:
             logger.info("%s", ruling)
         if rulings:
-            self._rulings += rulings
-            self._bad_news.set()
+            self._unsent_rulings += rulings
+            self._decide_now.set()
 
-    def _learn_limits(self, told: ServerLimits) -> None:
-        """Keep what is new of servers' rates for the next telling."""
+    def _receive_limits(self, limits: ServerLimits) -> None:
+        """Record servers' rate limits and queue the new ones for the next send."""
         now_ms = monotonic_ms()
-        for line in told.lines:
+        for line in limits.lines:
             if self._limits.learn(line.server, line.limit(now_ms)):
-                self._untold_limits.add(line.server)
-                self._bad_news.set()
+                self._unsent_limits.add(line.server)
+                self._decide_now.set()
 
-    async def _tell_limits(self, now_ms: int) -> None:
-        untold, self._untold_limits = self._untold_limits, set()
-        if not untold:
+    async def _send_limits(self, now_ms: int) -> None:
+        unsent, self._unsent_limits = self._unsent_limits, set()
+        if not unsent:
             return
         held = self._limits.held(now_ms)
-        told = {server: held[server] for server in untold & held.keys()}
+        limits = {server: held[server] for server in unsent & held.keys()}
         for session in list(self._sessions):
-            await self._send(session, ServerLimits.of(told, now_ms))
+            await self._send(session, ServerLimits.of(limits, now_ms))
 
-    async def _tell_rulings(self, now_ms: int) -> None:
-        rulings, self._rulings = self._rulings, []
+    async def _send_rulings(self, now_ms: int) -> None:
+        rulings, self._unsent_rulings = self._unsent_rulings, []
         if not rulings:
             return
-        told = RequestRulings([RequestRuling.of(r, now_ms) for r in rulings])
+        message = RequestRulings([RequestRuling.of(r, now_ms) for r in rulings])
         for session in list(self._sessions):
-            await self._send(session, told)
+            await self._send(session, message)
 
     async def _send_if_due(
         self, session: _Session, view: GroupView | None, now_ms: int
     ) -> None:
         if view is None or session.report_sequence == 0:
             return
-        is_due = now_ms - session.sent_at_ms >= SHEET_PAUSE_MS
-        if not is_due and not _differs(view, session.sent):
+        is_due = now_ms - session.sent_at_ms >= SHEET_INTERVAL_MS
+        if not is_due and not _has_changed(view, session.sent):
             return
         sequence = session.reporter.sheet_sequence + 1
         sheet = view.sheet(
@@ -164,20 +171,20 @@
 
     async def _send(self, session: _Session, message: Message) -> None:
         try:
-            # A peer that does not read must not hold up the others' sheets.
-            with anyio.fail_after(DECIDE_PAUSE_S):
+            # A peer that does not read must not delay the other entries' sheets.
+            with anyio.fail_after(DECIDE_INTERVAL_S):
                 await session.connection.send(message)
         except (CinderwayError, TimeoutError):
             self._sessions.discard(session)
             await session.connection.aclose()
 
 
-def _differs(view: GroupView, sent: GroupView | None) -> bool:
-    """Whether the entry would act differently by the new view."""
-    return sent is None or _essence(view) != _essence(sent)
+def _has_changed(view: GroupView, sent: GroupView | None) -> bool:
+    """Whether the new view would make the entry act differently."""
+    return sent is None or _comparison_key(view) != _comparison_key(sent)
 
 
-def _essence(view: GroupView) -> list[tuple]:
+def _comparison_key(view: GroupView) -> list[tuple]:
     return [
         (
             verdict.service,
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -1,8 +1,9 @@
-"""Follow the catalog at one control replica, in the own data hall if there is one.
+"""Follow the catalog at one control replica, in the entry's own data hall if possible.
 
-The replica says twice a second how old its own knowledge is. When that grows, or
-nothing comes, the replica that stands by is followed in its place; the catalog that is
-held stays in force meanwhile and never goes back.
+The replica's heartbeat, sent twice a second, says how old the replica's own knowledge
+is. When that age passes a limit, or no message arrives, the entry fails over to its
+standby replica. Its copy of the catalog stays in force meanwhile and never reverts to
+an older revision.
 """
 
 import logging
@@ -37,13 +38,13 @@
     ControlSession,
     ControlSessions,
 )
-from cinderway.entry.fleet._questions import Questions
+from cinderway.entry.fleet._questions import ReplicaRequests
 from cinderway.entry.fleet._replica_choice import (
     AVOID_MS,
     LEADERLESS_AVOID_MS,
     ReplicaChoice,
 )
-from cinderway.entry.fleet._sent_times import SentTimes
+from cinderway.entry.fleet._sent_times import HeartbeatSendTimes
 from cinderway.entry.fleet._standby import SILENT_LIMIT_S, Standby
 from cinderway.poison import RequestRulings
 from cinderway.pushback import FleetEntries, ServerLimits
@@ -51,16 +52,16 @@
 
 logger = logging.getLogger(__name__)
 
-# Together with the time in which a leader that is cut off notices it (0.9 s) and with a
-# heartbeat's interval, an entry behind a cut leaves the minority's replicas within 3 s.
+# A leader that is partitioned off notices it within 0.9 s. With that, this limit and a
+# heartbeat interval, an entry in a partition leaves the minority's replicas within 3 s.
 KNOWLEDGE_AGE_LIMIT_MS = 1_300
-# Between two rounds through all replicas.
+# Pause between two attempts that each try all replicas.
 RECONNECT_PAUSE_S = 0.1
-# A replica answers within a few milliseconds; on a busy link, or beside other work, in
-# some hundreds: leave that comes late still saves the request. One that is silent for
-# longer is left soon after.
+# A replica answers within a few milliseconds, or within some hundreds on a busy link or
+# a busy instance. A retry that is granted late can still save the request. A replica
+# that stays silent for longer is abandoned soon afterwards.
 RETRY_TIMEOUT_S = 1.0
-# Takes all verdicts back that are in force.
+# Revokes all verdicts that are in force.
 NO_VERDICTS = VerdictBatch([], [])
 
 
@@ -68,8 +69,8 @@
 class CatalogFollower:
     """Keeps an entry's copy of the catalog up to date.
 
-    Also its source of retries: they come out of the budget that all entries of the
-    replica share, or, without a replica, out of a small one of the entry's own.
+    It is also the entry's retry budget. Retries are paid from a budget that all entries
+    following the replica share or, without a replica, from a small local budget.
     """
 
     settings: CatalogEntrySettings
@@ -80,14 +81,14 @@
     updates: int = 0
     _connection: Connection | None = None
     # Set while no replica is followed.
-    _is_alone: anyio.Event = field(default_factory=anyio.Event)
-    # When the followed replica last said anything.
-    _heard_at_ms: int = 0
-    _sent_times: SentTimes = field(default_factory=SentTimes)
-    _questions: Questions = field(default_factory=Questions)
+    _is_disconnected: anyio.Event = field(default_factory=anyio.Event)
+    # When the last message from the followed replica arrived.
+    _received_at_ms: int = 0
+    _sent_times: HeartbeatSendTimes = field(default_factory=HeartbeatSendTimes)
+    _requests: ReplicaRequests = field(default_factory=ReplicaRequests)
 
     def __post_init__(self):
-        self._is_alone.set()
+        self._is_disconnected.set()
         self._choice = ReplicaChoice(
             self.settings.name,
             self.settings.data_hall,
@@ -102,18 +103,18 @@
             self._sessions,
             self._choice,
             known_revision=lambda: self.state.mirror.revision,
-            is_being_told=lambda: self._is_being_told,
-            install=lambda update: self._install(update, monotonic_ms()),
-            note_age=self._note_age,
+            is_update_incoming=lambda: self._is_update_incoming,
+            install=lambda update: self._apply_update(update, monotonic_ms()),
+            record_age=self._record_age,
             age_limit_ms=KNOWLEDGE_AGE_LIMIT_MS,
         )
         self._reports = CatalogReports(
             self.settings.name, self.settings.data_hall, self.state
         )
-        self.allowances = Allowances(self._ask_allowances)
+        self.allowances = Allowances(self._request_allowances)
 
     def use_settings(self, settings: CatalogEntrySettings) -> None:
-        """Take over what may change while the process runs: the seeds."""
+        """Apply the settings that may change while the process runs: the seeds."""
         self._choice.seeds = settings.seeds
         logger.info("seeds are now %s", ", ".join(settings.seeds))
 
@@ -126,23 +127,24 @@
 
     async def _follow_replicas(self) -> None:
         while True:
-            session = await self._next_session()
+            session = await self._open_session()
             if session is None:
                 await anyio.sleep(RECONNECT_PAUSE_S)
                 continue
-            await self._follow_while_it_serves(session)
+            await self._follow_until_lost(session)
 
-    async def _next_session(self) -> ControlSession | None:
-        """Return a session with the replica to follow; None if none answers."""
-        session = await self._standby.take()
+    async def _open_session(self) -> ControlSession | None:
+        """Return a session with the replica to follow; None if none can be opened."""
+        session = await self._standby.hand_over()
         if session is not None:
             return session
         now_ms = monotonic_ms()
         session = await self._sessions.open_first(self._choice.candidates(now_ms))
         if session is None or not session.is_first_contact:
             return session
-        if self._choice.has_better(session.address, monotonic_ms()):
-            # It has told of one in the own hall: what it would send crosses halls.
+        if self._choice.has_home_alternative(session.address, monotonic_ms()):
+            # Its list names a replica in the entry's own data hall. Following this one
+            # would send traffic between data halls.
             await session.connection.aclose()
             return None
         return session
@@ -154,17 +156,17 @@
 
     async def wait_alone(self) -> None:
         """Return once no control replica is followed."""
-        await self._is_alone.wait()
+        await self._is_disconnected.wait()
 
     @property
-    def _is_being_told(self) -> bool:
-        """Whether the followed replica is in the midst of a message."""
+    def _is_update_incoming(self) -> bool:
+        """Whether a message from the followed replica has arrived in part."""
         return self._connection is not None and self._connection.is_receiving
 
     # Retries.
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Credit the retry budget for a request that came in."""
         if self._connection is None:
             service.budget.earn()
         else:
@@ -173,38 +175,38 @@
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry from the shared budget; False if there is none left."""
+        """Consume one retry from the budget; False if none is granted in time."""
         if self._connection is None:
             return service.budget.spend()
-        question = TakeRetry(service.row.name, after_failure)
+        request = TakeRetry(service.row.name, after_failure)
         left_s = max(until_ms - monotonic_ms(), 0) / 1000
-        answer = await self._questions.ask(question, min(left_s, RETRY_TIMEOUT_S))
+        answer = await self._requests.call(request, min(left_s, RETRY_TIMEOUT_S))
         return isinstance(answer, RetryAnswer) and answer.is_granted
 
     # Allowances.
 
-    async def _ask_allowances(
+    async def _request_allowances(
         self, asked: AskAllowances, timeout_s: float
     ) -> GrantAllowances | None:
-        answer = await self._questions.ask(asked, timeout_s)
+        answer = await self._requests.call(asked, timeout_s)
         return answer if isinstance(answer, GrantAllowances) else None
 
     # Following.
 
-    async def _follow_while_it_serves(self, session: ControlSession) -> None:
+    async def _follow_until_lost(self, session: ControlSession) -> None:
         address = session.address
         self._choice.followed = address
         try:
             await self._follow(session.connection, address)
         except (CinderwayError, TimeoutError) as error:
-            self._choice.avoid(address, monotonic_ms(), _avoid_ms(error))
-            # Its verdicts end with it; another replica judges anew within seconds.
+            self._choice.avoid(address, monotonic_ms(), _choose_avoid_ms(error))
+            # Its verdicts no longer hold; the next replica decides anew within seconds.
             self.state.apply(NO_VERDICTS)
             logger.warning(
-                "lost control replica %s, last heard %d ms ago: %s; "
+                "lost control replica %s, last message %d ms ago: %s; "
                 "catalog %d stays in force",
                 address,
-                monotonic_ms() - self._heard_at_ms,
+                monotonic_ms() - self._received_at_ms,
                 str(error) or "silent",
                 self.state.mirror.revision,
             )
@@ -217,8 +219,8 @@
         known_revision = self.state.mirror.revision
         peers_address = self.settings.peers_listen
         await connection.send(FollowCatalog(name, hall, known_revision, peers_address))
-        # A replica that has started again knows of no request that is refused, and of
-        # no server's limit.
+        # A replica that has restarted knows neither which requests are refused nor the
+        # servers' rate limits.
         rulings = self.state.poison.rulings()
         if rulings.lines:
             await connection.send(rulings)
@@ -228,19 +230,20 @@
         logger.info(
             "following control replica %s of %s from catalog %d",
             address,
-            self._choice.hall_of(address) or "an unknown hall",
+            self._choice.find_hall(address) or "an unknown hall",
             known_revision,
         )
         self.state.follow_anew()
         failure: Exception | None = None
-        # What was earned alone must not be spent on top of the shared budget later.
+        # Retries credited to the local budget must not be spent on top of the shared
+        # budget later.
         for service in self.state.board.services.values():
             service.budget.empty()
-        self._heard_at_ms = monotonic_ms()
-        self._sent_times = SentTimes()
+        self._received_at_ms = monotonic_ms()
+        self._sent_times = HeartbeatSendTimes()
         self._connection = connection
-        self._is_alone = anyio.Event()
-        self._questions.connect(connection)
+        self._is_disconnected = anyio.Event()
+        self._requests.connect(connection)
         self.allowances.start_anew()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reports.send_evidence, connection)
@@ -248,44 +251,50 @@
             tasks.start_soon(self._reports.send_turned_away, connection)
             tasks.start_soon(self._reports.send_limits, connection)
             try:
-                await self._listen(connection, address, tasks)
+                await self._receive_messages(connection, address, tasks)
             except (CinderwayError, TimeoutError) as error:
                 failure = error
             self._connection = None
-            self._is_alone.set()
-            self._questions.disconnect()
+            self._is_disconnected.set()
+            self._requests.disconnect()
             self.state.follow_anew()
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
 
-    async def _listen(
+    async def _receive_messages(
         self, connection: Connection, address: Address, tasks: anyio.abc.TaskGroup
     ) -> None:
-        """Take what the replica tells; raise TimeoutError when it is silent.
+        """Process the replica's messages; raise TimeoutError when it is silent.
 
-        Loads are told to a replica of the own hall, from when it is known to be one: it
-        may announce itself only after it is followed.
+        Returns when the replica is in another data hall and a current standby is in the
+        entry's own.
+
+        Loads are sent only to a replica of the entry's own data hall, as soon as it is
+        known to be one: a replica may announce itself only after it is followed.
         """
-        tells_loads = False
-        # One scope whose deadline moves: one for each message costs as much as reading.
-        with anyio.fail_after(SILENT_LIMIT_S) as listening:
+        is_sending_loads = False
+        # A single scope whose deadline is moved: opening a new one for each message
+        # would cost as much as reading the message.
+        with anyio.fail_after(SILENT_LIMIT_S) as silence_scope:
             while self._choice.is_home(address) or (
                 not self._standby.is_current_at_home
             ):
                 envelope = await connection.receive()
-                listening.deadline = anyio.current_time() + SILENT_LIMIT_S
-                self._heard_at_ms = now_ms = monotonic_ms()
-                self._take(envelope, address, now_ms)
-                if not tells_loads and self._choice.is_home(address):
-                    tells_loads = True
+                silence_scope.deadline = anyio.current_time() + SILENT_LIMIT_S
+                self._received_at_ms = now_ms = monotonic_ms()
+                self._receive_message(envelope, address, now_ms)
+                if not is_sending_loads and self._choice.is_home(address):
+                    is_sending_loads = True
                     tasks.start_soon(self._reports.send_loads, connection)
 
-    def _take(self, envelope: Envelope, address: Address, now_ms: int) -> None:
+    def _receive_message(
+        self, envelope: Envelope, address: Address, now_ms: int
+    ) -> None:
         message = envelope.message
         match message:
             case CatalogUpdate():
-                self._install(message, now_ms)
+                self._apply_update(message, now_ms)
             case SuspectServers() | RequestRulings() | ServerLimits() | FleetEntries():
                 self.state.hear(message, now_ms)
             case ServerLoads():
@@ -293,42 +302,42 @@
             case HallEntries(addresses=addresses):
                 self.state.peers = addresses
             case RetryAnswer() | GrantAllowances():
-                self._questions.take_answer(envelope.call_id, message)
+                self._requests.receive_answer(envelope.call_id, message)
             case VerdictBatch():
                 self.state.apply(message)
             case CatalogHeartbeat(knowledge_age_ms=age_ms):
-                self._hear(address, age_ms, now_ms)
+                self._receive_heartbeat(address, age_ms, now_ms)
 
-    def _install(self, update: CatalogUpdate, now_ms: int) -> None:
+    def _apply_update(self, update: CatalogUpdate, now_ms: int) -> None:
         if not self.state.install(update, now_ms):
             return
         self.updates += 1
         sheet = self.state.mirror.sheet
         logger.info(
-            "in force: catalog %d, sheet version %s, %d backend servers",
+            "catalog %d in force, sheet version %s, %d backend servers",
             update.revision,
             sheet.version if sheet else "none",
             len(self.state.mirror.servers),
         )
 
-    def _hear(self, address: Address, age_ms: int, now_ms: int) -> None:
+    def _receive_heartbeat(self, address: Address, age_ms: int, now_ms: int) -> None:
         is_stale = age_ms > KNOWLEDGE_AGE_LIMIT_MS
-        # Where all replicas are without a leader, one that is followed is the first to
-        # tell of the next; going round them would only keep them busy.
-        if is_stale and self._choice.has_other(address, now_ms):
+        # Where no replica has a leader, the followed one reports the next leader as
+        # soon as any would; switching between replicas would only add load.
+        if is_stale and self._choice.has_alternative(address, now_ms):
             raise CinderwayError(
                 ErrorCode.NO_QUORUM,
-                f"what the replica knows is {age_ms} ms old",
+                f"the replica's knowledge is {age_ms} ms old",
                 step=Step.RECEIVE,
                 peer=address,
             )
-        self._note_age(age_ms, self._sent_times.heard(now_ms))
+        self._record_age(age_ms, self._sent_times.record_heartbeat(now_ms))
 
-    def _note_age(self, age_ms: int, now_ms: int) -> None:
+    def _record_age(self, age_ms: int, now_ms: int) -> None:
         self.state.current_at_ms = max(self.state.current_at_ms, now_ms - age_ms)
 
 
-def _avoid_ms(error: Exception) -> int:
+def _choose_avoid_ms(error: Exception) -> int:
     is_leaderless = (
         isinstance(error, CinderwayError) and error.code is ErrorCode.NO_QUORUM
     )
--- a/src/cinderway/entry/fleet/_catalog_reports.py
+++ b/src/cinderway/entry/fleet/_catalog_reports.py
@@ -1,4 +1,4 @@
-"""What an entry tells the control replica that it follows: observations and loads."""
+"""Reports of an entry to the control replica that it follows: evidence and loads."""
 
 import logging
 from collections import Counter
@@ -18,19 +18,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Between two looks for observations to send, and the time that sending may take.
-REPORT_PAUSE_S = 0.1
-# Good observations are gathered for this long; bad ones go out at the next look.
-GATHER_MS = 500
-# Loads that change within this time are told together.
-LOAD_PAUSE_S = 0.01
+# Interval between checks for evidence to send, and the timeout of each send.
+REPORT_INTERVAL_S = 0.1
+# Good observations are batched for this long; bad ones are sent at the next check.
+BATCH_INTERVAL_MS = 500
+# Pause after each message: changes within this time are sent together.
+SEND_PAUSE_S = 0.01
 
 
 class CatalogReports:
-    """Sends what the entry came to know; what cannot be sent in time is lost.
+    """Sends what the entry observed.
 
-    `first_requests` counts requests by service since the last batch: the shared retry
-    budget grows with them.
+    Evidence, loads and rejecting servers that cannot be sent in time are lost; ends of
+    servers and rate limits are queued again.
+
+    `first_requests` counts requests by service since the last batch, retries excluded;
+    the replica credits the shared retry budget with them.
     """
 
     def __init__(self, entry: EntryName, data_hall: DataHall, state: CatalogBoard):
@@ -40,70 +43,70 @@
         self.first_requests: Counter[ServiceName] = Counter()
 
     async def send_evidence(self, connection: Connection) -> None:
-        """Report what requests showed of servers, as long as there are requests."""
+        """Send evidence on backend servers while there are requests."""
         evidence = self._state.evidence
         reported_at_ms = 0
         while True:
             await self._state.activity.wait()
-            with anyio.move_on_after(self._pause_s(evidence)):
+            with anyio.move_on_after(self._compute_pause_s(evidence)):
                 await self._state.bad_news.wait()
             self._state.bad_news = anyio.Event()
             now_ms = monotonic_ms()
             evidence.sweep(now_ms)
-            is_due = now_ms - reported_at_ms >= GATHER_MS
+            is_due = now_ms - reported_at_ms >= BATCH_INTERVAL_MS
             if not evidence.has_urgent and not is_due:
                 continue
             counts = evidence.take()
             if counts:
                 reported_at_ms = now_ms
-                await self._send_batch(connection, counts)
+                await self._send_evidence_batch(connection, counts)
             elif not self._state.board.in_flight:
                 self._state.activity = anyio.Event()
 
     @staticmethod
-    def _pause_s(evidence: EvidenceLog) -> float:
-        """Return the time until the next look: sooner if a request will be late."""
-        late_in_s = (evidence.next_late_at_ms() - monotonic_ms()) / 1000
-        return min(max(late_in_s, 0.0), REPORT_PAUSE_S)
+    def _compute_pause_s(evidence: EvidenceLog) -> float:
+        """Return the time until the next check, earlier if a request will be late."""
+        next_late_in_s = (evidence.next_late_at_ms() - monotonic_ms()) / 1000
+        return min(max(next_late_in_s, 0.0), REPORT_INTERVAL_S)
 
     async def send_loads(self, connection: Connection) -> None:
-        """Tell the hall how full servers are, whenever that changes."""
+        """Send the data hall the loads of servers whenever they change."""
         while True:
             await self._state.loads_changed.wait()
             told = self._state.take_loads(monotonic_ms())
-            await _tell(connection, told, "loads of servers")
-            await anyio.sleep(LOAD_PAUSE_S)
+            await _send_or_close(connection, told, "loads of servers")
+            await anyio.sleep(SEND_PAUSE_S)
 
     async def send_turned_away(self, connection: Connection) -> None:
-        """Tell the hall at once which servers turn requests away."""
+        """Send the data hall at once the servers that reject requests."""
         while True:
             await self._state.turned_away.wait()
             told = self._state.take_turned_away(monotonic_ms())
-            await _tell(connection, told, "servers that turn requests away")
-            await anyio.sleep(LOAD_PAUSE_S)
+            await _send_or_close(connection, told, "servers that reject requests")
+            await anyio.sleep(SEND_PAUSE_S)
 
     async def send_runs(self, connection: Connection) -> None:
-        """Tell at once under which requests servers ended."""
+        """Send at once the requests during which server processes ended."""
         watch = self._state.poison
         while True:
             await watch.has_news.wait()
             runs = watch.take_runs()
             put_back = partial(watch.put_back, runs)
-            await _tell(connection, runs, "ends of servers", put_back)
-            await anyio.sleep(LOAD_PAUSE_S)
+            await _send_or_close(connection, runs, "ends of servers", put_back)
+            await anyio.sleep(SEND_PAUSE_S)
 
     async def send_limits(self, connection: Connection) -> None:
-        """Tell at once which servers name a rate, or none any more."""
+        """Send at once which servers ask for a rate limit, or have lifted it."""
         watch = self._state.board.limits
         while True:
             await watch.has_news.wait()
             told = watch.take_news(monotonic_ms())
-            await _tell(
+            await _send_or_close(
                 connection, told, "limits of servers", partial(watch.put_back, told)
             )
-            await anyio.sleep(LOAD_PAUSE_S)
+            await anyio.sleep(SEND_PAUSE_S)
 
-    async def _send_batch(self, connection: Connection, counts: dict) -> None:
+    async def _send_evidence_batch(self, connection: Connection, counts: dict) -> None:
         found = [
             evidence_from(service, server, seen)
             for (service, server), seen in counts.items()
@@ -116,25 +119,25 @@
             list(first),
             list(first.values()),
         )
-        await _tell(connection, batch, f"observations of {len(found)} servers")
+        await _send_or_close(connection, batch, f"observations of {len(found)} servers")
 
 
-async def _tell(
+async def _send_or_close(
     connection: Connection,
     message: Message,
     what: str,
     put_back: Callable[[], None] | None = None,
 ) -> None:
-    """Send a message in time, or give the connection up.
+    """Send a message, or close the connection if that takes too long.
 
-    `put_back` keeps what was not sent. It is called first: the caller may be cancelled
-    as soon as the connection is closed.
+    `put_back` queues again what was not sent. It runs before the connection is closed,
+    because the caller may be cancelled as soon as it is.
     """
     try:
-        with anyio.fail_after(REPORT_PAUSE_S):
+        with anyio.fail_after(REPORT_INTERVAL_S):
             await connection.send(message)
     except (CinderwayError, TimeoutError) as error:
         if put_back is not None:
             put_back()
-        logger.info("%s were not told: %s", what, str(error) or "slow")
+        logger.info("%s were not sent: %s", what, str(error) or "slow")
         await connection.aclose()
--- a/src/cinderway/entry/fleet/_control_sessions.py
+++ b/src/cinderway/entry/fleet/_control_sessions.py
@@ -1,8 +1,9 @@
-"""Open connections to control replicas, however long a busy link takes for it.
+"""Open connections to control replicas, also over slow links.
 
-A connection takes four round trips until a replica can be followed, each of them behind
-what callers send and get over the same link. No try is thrown away because the link is
-slow: the next replica is tried beside it, and the first that answers is taken.
+A connection takes four round trips until the replica can be followed, and each of them
+queues behind the callers' traffic on the same link. An attempt is not abandoned because
+the link is slow: the next replica is tried concurrently, and the first one that answers
+is used.
 """
 
 import logging
@@ -21,10 +22,12 @@
 
 logger = logging.getLogger(__name__)
 
-# Each step of a connection. On a narrow link each download ahead holds a round trip up;
-# tries that are given up too soon keep an entry without a replica.
+# Timeout of each step of opening a connection. On a narrow link every download that is
+# queued ahead delays a round trip; attempts that are abandoned too early leave an entry
+# without a replica.
 STEP_TIMEOUT_S = 3.0
-# How long a replica is tried alone. On an idle link it answers within some 10 ms.
+# How long an attempt runs before the next replica is tried too. On an idle link a
+# replica answers within some 10 ms.
 STAGGER_S = 0.4
 
 Connect = Callable[..., Awaitable[Connection]]
@@ -34,7 +37,7 @@
 class ControlSession:
     """An open connection to one control replica.
 
-    `is_first_contact` says that nothing was known of the replica before.
+    `is_first_contact` is true if the replica's data hall was not known before.
     """
 
     address: Address
@@ -44,7 +47,7 @@
 
 @dataclass
 class ControlSessions:
-    """Opens sessions; what replicas they tell of goes into the choice."""
+    """Opens sessions and adds the replicas that they list to the choice."""
 
     choice: ReplicaChoice
     identity: Identity
@@ -54,14 +57,14 @@
     async def open_first(self, addresses: Iterable[Address]) -> ControlSession | None:
         """Return a session with the first replica that answers; None if none does.
 
-        Replicas are tried in order, the next one when the last has failed or has not
-        answered for `STAGGER_S`.
+        Replicas are tried in order; the next attempt starts once the previous one has
+        failed or has not succeeded within `STAGGER_S`.
         """
         opened: list[ControlSession] = []
         async with anyio.create_task_group() as tasks:
 
             async def attempt(address: Address, ended: anyio.Event) -> None:
-                session = await self._try(address)
+                session = await self._try_open(address)
                 ended.set()
                 if session is None:
                     return
@@ -78,26 +81,26 @@
                     await ended.wait()
         return opened[0] if opened else None
 
-    async def _try(self, address: Address) -> ControlSession | None:
+    async def _try_open(self, address: Address) -> ControlSession | None:
         started_at_ms = monotonic_ms()
         try:
             session = await self._open(address)
         except (CinderwayError, TimeoutError) as error:
             self.choice.avoid(address, monotonic_ms())
             logger.info(
-                "control replica %s cannot be reached: %s after %d ms",
+                "cannot connect to control replica %s: %s after %d ms",
                 address,
-                str(error) or "it does not answer",
-                self._note_setup(started_at_ms, "failed"),
+                str(error) or "no answer",
+                self._record_setup(started_at_ms, "failed"),
             )
             return None
-        took_ms = self._note_setup(started_at_ms, "opened")
-        logger.info("control replica %s answers after %d ms", address, took_ms)
+        took_ms = self._record_setup(started_at_ms, "opened")
+        logger.info("connected to control replica %s in %d ms", address, took_ms)
         return session
 
     async def _open(self, address: Address) -> ControlSession:
         connection = await self.connect(address, CATALOG, self.identity, STEP_TIMEOUT_S)
-        is_first_contact = not self.choice.hall_of(address)
+        is_first_contact = not self.choice.find_hall(address)
         try:
             if is_first_contact:
                 await self._find_replicas(connection)
@@ -111,10 +114,10 @@
             await connection.send(FindReplicas(), call_id=1)
             answer = (await connection.receive()).message
         if isinstance(answer, ReplicasAnswer):
-            self.choice.learn(answer.replicas)
+            self.choice.update_replicas(answer.replicas)
 
-    def _note_setup(self, started_at_ms: int, outcome: str) -> int:
-        """Note how long opening took, and return that in milliseconds."""
+    def _record_setup(self, started_at_ms: int, outcome: str) -> int:
+        """Record how long opening took and return it in milliseconds."""
         took_ms = monotonic_ms() - started_at_ms
         labels = {"outcome": outcome}
         self.metrics.observe("control_setup_seconds", took_ms / 1000, labels)
--- a/src/cinderway/entry/fleet/_platform.py
+++ b/src/cinderway/entry/fleet/_platform.py
@@ -1,10 +1,11 @@
-"""Read the platform's list of live and leaving instances, which lags.
+"""Read the platform's list of live and leaving instances.
 
     GET URL -> {"instances": [{"name": "suva-1", "address": "10.0.1.9:7000",
                                "state": "live"}, …]}
 
-The list says of an entry only how long to wait for it once it is silent, and of a
-backend server that it is leaving. What it leaves out is never taken for dead.
+The list lags behind reality. For an entry it decides only how long to wait once that
+entry has gone silent; for a backend server, only whether it is leaving. Absence from
+the list is never taken as failure.
 """
 
 import logging
@@ -20,21 +21,21 @@
 
 logger = logging.getLogger(__name__)
 
-READ_PAUSE_S = 1.0
+READ_INTERVAL_S = 1.0
 READ_TIMEOUT_S = 2.0
-# A list that cannot be read for this many times in a row is not used any longer.
-FAILURES_TO_FORGET = 10
+# After this many failed reads in a row the last list is discarded.
+MAX_FAILURES = 10
 
 
 class InstanceState(Enum):
-    """What the platform says of an instance."""
+    """The state that the platform lists for an instance."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """One instance of the list; fields of the platform's that we do not use go."""
+    """One instance of the list; other fields of the platform are ignored."""
 
     name: EntryName
     address: Address
@@ -48,7 +49,7 @@
 
 
 def apply_list(board: Blackboard, listed: PlatformList | None) -> None:
-    """Write what the list says to the board; None takes it back."""
+    """Apply the list to the board; None reverts its effects."""
     instances = listed.instances if listed else []
     names = frozenset(instance.name for instance in instances)
     board.fleet.set_listed(names if listed else None)
@@ -60,22 +61,22 @@
 
 @dataclass
 class PlatformReader:
-    """Keeps the board in line with the platform's list."""
+    """Polls the platform's list and applies it to the board."""
 
     board: Blackboard
     url: str
     failures: int = 0
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll until cancelled."""
         if not self.url:
             return
         async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
             while True:
-                await self._read_once(pool)
-                await anyio.sleep(READ_PAUSE_S)
+                await self._fetch_list(pool)
+                await anyio.sleep(READ_INTERVAL_S)
 
-    async def _read_once(self, pool: httpcore.AsyncConnectionPool) -> None:
+    async def _fetch_list(self, pool: httpcore.AsyncConnectionPool) -> None:
         try:
             with anyio.fail_after(READ_TIMEOUT_S):
                 answer = await pool.request("GET", self.url)
@@ -87,8 +88,8 @@
             TimeoutError,
         ) as error:
             self.failures += 1
-            if self.failures == FAILURES_TO_FORGET:
-                logger.warning("the platform's list cannot be read: %s", error)
+            if self.failures == MAX_FAILURES:
+                logger.warning("cannot read the platform's list: %s", error)
                 apply_list(self.board, None)
             return
         self.failures = 0
--- a/src/cinderway/entry/fleet/_questions.py
+++ b/src/cinderway/entry/fleet/_questions.py
@@ -1,4 +1,4 @@
-"""Questions to the replica that is followed, over the connection that follows it."""
+"""Requests to the followed replica, over the connection that follows it."""
 
 import logging
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Calls that find replicas and fetch the catalog have the first ids.
+# Ids 1 and 2 belong to the calls that list replicas and fetch the catalog.
 FIRST_CALL_ID = 3
 
 
@@ -21,25 +21,25 @@
 
 
 @dataclass
-class Questions:
-    """Questions under way; without a replica none is answered."""
+class ReplicaRequests:
+    """Sends requests and matches answers to them; without a replica all fail."""
 
     _connection: Connection | None = None
     _pending: dict[int, _Pending] = field(default_factory=dict)
     _next_call_id: int = FIRST_CALL_ID
 
     def connect(self, connection: Connection) -> None:
-        """Ask over this connection from now on."""
+        """Send requests over this connection from now on."""
         self._connection = connection
 
     def disconnect(self) -> None:
-        """Let nobody wait for a replica that is gone."""
+        """Forget the connection and end all pending requests without an answer."""
         self._connection = None
         for pending in self._pending.values():
             pending.done.set()
 
-    async def ask(self, question: Message, timeout_s: float) -> Message | None:
-        """Return the answer; None without a replica, or in too long a time."""
+    async def call(self, request: Message, timeout_s: float) -> Message | None:
+        """Return the answer; None without a replica or on timeout."""
         connection = self._connection
         if connection is None:
             return None
@@ -48,20 +48,20 @@
         pending = self._pending[call_id] = _Pending()
         try:
             with anyio.fail_after(timeout_s):
-                await connection.send(question, call_id)
+                await connection.send(request, call_id)
                 await pending.done.wait()
         except (CinderwayError, TimeoutError) as error:
             logger.info(
-                "no answer to %s: %s",
-                type(question).__name__,
-                str(error) or f"none within {timeout_s} s",
+                "%s was not answered: %s",
+                type(request).__name__,
+                str(error) or f"timed out after {timeout_s} s",
             )
         finally:
             del self._pending[call_id]
         return pending.answer
 
-    def take_answer(self, call_id: int, answer: Message) -> None:
-        """Bring an answer to whoever waits for it."""
+    def receive_answer(self, call_id: int, answer: Message) -> None:
+        """Deliver an answer to the call that awaits it."""
         pending = self._pending.get(call_id)
         if pending is not None:
             pending.answer = answer
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -19,7 +19,7 @@
 )
 from cinderway.wire import Connection, Message, Route, serve_calls
 
-EVENTS_KEPT = 1_000
+MAX_EVENTS = 1_000
 
 
 @dataclass(frozen=True)
@@ -33,20 +33,20 @@
 
 
 class ReportServer:
-    """Keeps what operators ask for."""
+    """Keeps service levels and ejection events, and serves them to operators."""
 
     def __init__(self, board: Blackboard):
         self._board = board
         self._levels: dict[ServiceName, LevelCounter] = {}
-        self._events: deque[_Event] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[_Event] = deque(maxlen=MAX_EVENTS)
 
     @property
     def route(self) -> Route:
-        """What serves the operators' connections."""
+        """The route that serves operators' connections."""
         return Route(REPORT, self._serve)
 
     def count(self, service: ServiceName, is_missed: bool) -> None:
-        """Note a request that kept or missed its service's objective."""
+        """Record a request that met or missed its service's objective."""
         counter = self._levels.get(service)
         if counter is None:
             counter = self._levels[service] = LevelCounter()
@@ -60,7 +60,7 @@
         reason: str = "",
         score: float = 0.0,
     ) -> None:
-        """Note what happened to a backend server."""
+        """Record an event of a backend server, such as an ejection."""
         event = _Event(monotonic_ms(), service, server, what, reason, score)
         self._events.append(event)
 
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -1,4 +1,4 @@
-"""Report what this entry sees to its assessors, and act on what they judge."""
+"""Report this entry's evidence to its assessors and apply their verdicts."""
 
 import logging
 from dataclasses import dataclass, field
@@ -40,27 +40,29 @@
 
 logger = logging.getLogger(__name__)
 
-REPORT_PAUSE_S = 0.025
-# Bad observations go out at once; good ones are gathered for this long.
-GATHER_MS = 100
-# An empty report goes out this often: it renews leases and shows that the entry is
-# there.
-IDLE_REPORT_MS = 500
+REPORT_INTERVAL_S = 0.025
+# Bad observations are sent at once; good ones are batched for this long.
+BATCH_INTERVAL_MS = 100
+# An empty report is sent this often: it renews the verdicts' leases and shows that the
+# entry is alive.
+IDLE_REPORT_INTERVAL_MS = 500
 AVOID_MS = 5_000
 SEND_TIMEOUT_S = 0.1
-CHOOSE_PAUSE_MS = 500
-# How late the end of a lease may be noticed; news in a sheet is acted on at once.
-APPLY_PAUSE_MS = 200
-# An assessor repeats a drain signal with each sheet while it holds.
-SHEET_VALID_MS = 2_000
-SEQUENCES_REMEMBERED = 64
-# The one group of entries that divide servers' rates: here all know of each other.
-WHOLE_FLEET = "fleet"
+CHOOSE_INTERVAL_MS = 500
+# How late the end of a lease may be noticed; changes in a sheet are applied at once.
+APPLY_INTERVAL_MS = 200
+# How long a drain signal counts; an assessor repeats it with each sheet while it holds.
+DRAIN_VALID_MS = 2_000
+# Send times are kept for this many reports, until a sheet answers one of them.
+MAX_PENDING_REPORTS = 64
+# The name of the single group of entries that share servers' rate limits: in this mode
+# all entries know each other.
+FLEET_GROUP = "fleet"
 
 
 @dataclass(eq=False)
 class _Link:
-    """One entry's conversation with one assessor about one group."""
+    """This entry's connection to one assessor for one group of services."""
 
     assessor: EntryName
     group: int
@@ -73,7 +75,7 @@
 
 @dataclass
 class Reporter:
-    """Keeps the board's ejections, shares and probes in line with the verdicts."""
+    """Applies verdicts to the board: ejections, traffic shares and probe rates."""
 
     board: Blackboard
     evidence: EvidenceLog
@@ -93,23 +95,26 @@
     _assessors: dict[int, list[EntryReport]] = field(default_factory=dict)
 
     async def run(self) -> None:
-        """Report and act until cancelled."""
+        """Report evidence and apply verdicts until cancelled."""
         while True:
-            await anyio.sleep(REPORT_PAUSE_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             now_ms = monotonic_ms()
             self.evidence.sweep(now_ms)
-            if now_ms - self._chosen_at_ms >= CHOOSE_PAUSE_MS:
+            if now_ms - self._chosen_at_ms >= CHOOSE_INTERVAL_MS:
                 self._chosen_at_ms = now_ms
                 self._choose_assessors(now_ms)
-            if self.evidence.has_urgent or now_ms - self._reported_at_ms >= GATHER_MS:
+            if (
+                self.evidence.has_urgent
+                or now_ms - self._reported_at_ms >= BATCH_INTERVAL_MS
+            ):
                 self._reported_at_ms = now_ms
-                await self._report(now_ms)
+                await self._send_reports(now_ms)
             if self.watch.has_news.is_set():
-                await self._tell_all(self.watch.take_runs(), "ends of servers")
+                await self._send_to_all(self.watch.take_runs(), "ends of servers")
             if self.board.limits.has_news.is_set():
-                told = self.board.limits.take_news(now_ms)
-                await self._tell_all(told, "limits of servers")
-            if now_ms - self._applied_at_ms >= APPLY_PAUSE_MS:
+                limits = self.board.limits.take_news(now_ms)
+                await self._send_to_all(limits, "limits of servers")
+            if now_ms - self._applied_at_ms >= APPLY_INTERVAL_MS:
                 self.apply(now_ms)
 
     # Reporting.
@@ -123,7 +128,7 @@
             self.board.name, self.board.data_hall, self.own_address, 0, 0, 0, False
         )
         live[own.name] = own
-        fleet = EntryGroup(WHOLE_FLEET, frozenset({WHOLE_FLEET}), frozenset(live))
+        fleet = EntryGroup(FLEET_GROUP, frozenset({FLEET_GROUP}), frozenset(live))
         self.board.use_group(fleet, now_ms)
         groups = {group_of(name) for name in self.board.services}
         self._assessors = {
@@ -139,30 +144,30 @@
         for key, address in wanted.items():
             if key not in self._links and key not in self._connecting:
                 self._connecting.add(key)
-                self.tasks.start_soon(self._talk, key, address)
+                self.tasks.start_soon(self._run_link, key, address)
 
-    async def _talk(self, key: tuple[int, EntryName], address: Address) -> None:
+    async def _run_link(self, key: tuple[int, EntryName], address: Address) -> None:
         group, assessor = key
         link: _Link | None = None
         try:
             connection = await connect(address, JUDGEMENT, self.identity)
             link = self._links[key] = _Link(assessor, group, connection)
             self._connecting.discard(key)
-            # An assessor that has just started knows of no request that is refused, and
-            # of no server's limit.
+            # An assessor that has just started knows neither which requests are refused
+            # nor the servers' rate limits.
             await connection.send(self.watch.rulings())
             await connection.send(self.board.limits.limits(monotonic_ms()))
             while True:
                 envelope = await connection.receive()
                 match envelope.message:
                     case VerdictSheet() as sheet:
-                        self._take(link, sheet)
-                    case RequestRulings() as told:
-                        self.watch.hear_rulings(told)
-                    case ServerLimits() as told:
-                        self.board.hear_limits(told, monotonic_ms())
+                        self._receive_sheet(link, sheet)
+                    case RequestRulings() as rulings:
+                        self.watch.hear_rulings(rulings)
+                    case ServerLimits() as limits:
+                        self.board.hear_limits(limits, monotonic_ms())
         except CinderwayError:
-            # A link that is no longer in use was closed here, not by the assessor.
+            # Avoid the assessor unless this entry itself closed the link, as unused.
             if link is None or self._links.get(key) is link:
                 self._avoid_until_ms[assessor] = monotonic_ms() + AVOID_MS
         finally:
@@ -171,7 +176,7 @@
             elif self._links.get(key) is link:
                 del self._links[key]
 
-    def _take(self, link: _Link, sheet: VerdictSheet) -> None:
+    def _receive_sheet(self, link: _Link, sheet: VerdictSheet) -> None:
         sent_at_ms = link.sent_at_ms.get(sheet.report_sequence)
         if sent_at_ms is None:
             return
@@ -181,31 +186,31 @@
         if before is None or before.sheet.servers != sheet.servers:
             self.apply(monotonic_ms())
 
-    async def _report(self, now_ms: int) -> None:
+    async def _send_reports(self, now_ms: int) -> None:
         by_group: dict[int, list[ServerEvidence]] = {}
         for (service, server), counts in self.evidence.take().items():
             group = by_group.setdefault(group_of(service), [])
             group.append(evidence_from(service, server, counts))
         for key, link in list(self._links.items()):
             evidence = by_group.get(link.group, [])
-            if evidence or now_ms - link.last_sent_at_ms >= IDLE_REPORT_MS:
-                await self._send(key, link, evidence, now_ms)
+            if evidence or now_ms - link.last_sent_at_ms >= IDLE_REPORT_INTERVAL_MS:
+                await self._send_report(key, link, evidence, now_ms)
 
-    async def _tell_all(self, message: Message, what: str) -> None:
-        """Tell all assessors what this entry came to know."""
+    async def _send_to_all(self, message: Message, what: str) -> None:
+        """Send a message to all assessors."""
         for link in list(self._links.values()):
             try:
                 with anyio.fail_after(SEND_TIMEOUT_S):
                     await link.connection.send(message)
             except (CinderwayError, TimeoutError) as error:
                 logger.info(
-                    "assessor %s was not told of %s: %s",
+                    "assessor %s was not sent %s: %s",
                     link.assessor,
                     what,
                     str(error) or "slow",
                 )
 
-    async def _send(
+    async def _send_report(
         self,
         key: tuple[int, EntryName],
         link: _Link,
@@ -215,7 +220,7 @@
         link.sequence += 1
         link.last_sent_at_ms = now_ms
         link.sent_at_ms[link.sequence] = now_ms
-        if len(link.sent_at_ms) > SEQUENCES_REMEMBERED:
+        if len(link.sent_at_ms) > MAX_PENDING_REPORTS:
             del link.sent_at_ms[min(link.sent_at_ms)]
         report = EvidenceReport(
             self.board.name,
@@ -233,10 +238,10 @@
             self._links.pop(key, None)
             await link.connection.aclose()
 
-    # Acting.
+    # Applying verdicts.
 
     def apply(self, now_ms: int) -> None:
-        """Bring the board in line with the sheets, the leases and the floor."""
+        """Update the board from the sheets, within their leases and the floor."""
         self._applied_at_ms = now_ms
         for group, assessors in self._assessors.items():
             sheets = [
@@ -266,43 +271,47 @@
         agreed: dict,
         now_ms: int,
     ) -> None:
-        found = {s: agreed.get((name, s)) for s in service.servers}
-        if not any(found.values()) and all(map(_is_plain, service.servers.values())):
+        verdicts = {s: agreed.get((name, s)) for s in service.servers}
+        if not any(verdicts.values()) and all(
+            map(_is_unaffected, service.servers.values())
+        ):
             return
-        permitted = self._permitted(service, found, now_ms)
+        permitted = self._compute_permitted(service, verdicts, now_ms)
         changed = False
         for server_name, server in service.servers.items():
-            said = found[server_name]
-            server.share = said.share if said else 1.0
-            server.share *= join_share(server, service, now_ms)
-            server.probes_per_s = said.probes_per_s if said else 0.0
-            if said and said.is_draining:
-                server.pushback.leave(now_ms + SHEET_VALID_MS)
+            verdict = verdicts[server_name]
+            server.share = verdict.share if verdict else 1.0
+            server.share *= compute_join_share(server, service, now_ms)
+            server.probes_per_s = verdict.probes_per_s if verdict else 0.0
+            if verdict and verdict.is_draining:
+                server.pushback.leave(now_ms + DRAIN_VALID_MS)
             is_ejected = server_name in permitted
-            if said and said.is_ejected and not is_ejected:
-                self._note_held(name, server, said)
+            if verdict and verdict.is_ejected and not is_ejected:
+                self._record_held(name, server, verdict)
             else:
                 server.is_held_by_floor = False
             if is_ejected != server.is_ejected:
                 server.is_ejected = is_ejected
                 changed = True
-                self._note_change(name, server, said)
+                self._record_change(name, server, verdict)
         if changed:
             service.free_slot()
 
-    def _permitted(self, service: ServiceState, found: dict, now_ms: int) -> frozenset:
+    def _compute_permitted(
+        self, service: ServiceState, verdicts: dict, now_ms: int
+    ) -> frozenset:
         capacities = []
         for name, server in service.servers.items():
-            said: Agreed | None = found[name]
-            is_cold = join_share(server, service, now_ms) < 1
+            verdict: Agreed | None = verdicts[name]
+            is_cold = compute_join_share(server, service, now_ms) < 1
             is_available = server.takes_work(now_ms)
             capacities.append(
                 Capacity(
                     name,
                     server.row.slots,
                     is_available and not is_cold,
-                    bool(said and said.is_ejected),
-                    said.score if said else 0.0,
+                    bool(verdict and verdict.is_ejected),
+                    verdict.score if verdict else 0.0,
                 )
             )
         table_slots = sum(
@@ -312,39 +321,47 @@
         )
         return permitted_ejections(capacities, floor_slots_of(service.row, table_slots))
 
-    def _note_held(
-        self, service: ServiceName, server: ServerState, said: Agreed
+    def _record_held(
+        self, service: ServiceName, server: ServerState, verdict: Agreed
     ) -> None:
         if server.is_held_by_floor:
             return
         server.is_held_by_floor = True
         self.held_by_floor += 1
         self.reports.note(
-            service, server.row.name, Happening.HELD_BY_FLOOR, said.reason, said.score
+            service,
+            server.row.name,
+            Happening.HELD_BY_FLOOR,
+            verdict.reason,
+            verdict.score,
         )
 
-    def _note_change(
-        self, service: ServiceName, server: ServerState, said: Agreed | None
+    def _record_change(
+        self, service: ServiceName, server: ServerState, verdict: Agreed | None
     ) -> None:
         if server.is_ejected:
             self.ejections += 1
             self.reports.note(
-                service, server.row.name, Happening.EJECTED, said.reason, said.score
+                service,
+                server.row.name,
+                Happening.EJECTED,
+                verdict.reason,
+                verdict.score,
             )
             logger.info(
                 "ejected %s/%s: %s, score %.1f",
                 service,
                 server.row.name,
-                said.reason,
-                said.score,
+                verdict.reason,
+                verdict.score,
             )
         else:
             self.reports.note(service, server.row.name, Happening.TAKEN_BACK)
-            logger.info("took back %s/%s", service, server.row.name)
+            logger.info("reinstated %s/%s", service, server.row.name)
 
 
-def _is_plain(server: ServerState) -> bool:
-    """Whether nothing that verdicts or time can change holds for a server."""
+def _is_unaffected(server: ServerState) -> bool:
+    """Whether the server has no state that verdicts or time could change."""
     return (
         not server.is_ejected
         and not server.is_held_by_floor
@@ -354,8 +371,10 @@
     )
 
 
-def join_share(server: ServerState, service: ServiceState, now_ms: int) -> float:
-    """Return the share of a server that joined a moment ago: its slow start."""
+def compute_join_share(
+    server: ServerState, service: ServiceState, now_ms: int
+) -> float:
+    """Return a server's slow-start share; 1 once it joined long enough ago."""
     if not server.joined_at_ms:
         return 1.0
     ramp = (now_ms - server.joined_at_ms) / max(service.row.slow_start_ms, 1)
--- a/src/cinderway/entry/fleet/_table_follower.py
+++ b/src/cinderway/entry/fleet/_table_follower.py
@@ -1,7 +1,7 @@
-"""Keep the table in force: follow control replicas, and other entries besides.
+"""Keep the table up to date from control replicas and from other entries.
 
-Every entry has three ways to a newer table: two control replicas that it waits on,
-and one other entry that it asks each second. Any one of them suffices.
+Every entry has three sources of a newer table: two control replicas, with long polls,
+and one random other entry that it asks each second. Any one of them is enough.
 """
 
 import logging
@@ -15,7 +15,7 @@
 from cinderway._ids import Address
 from cinderway._settings import EntrySettings
 from cinderway.entry._blackboard import Blackboard
-from cinderway.entry.fleet._trust import TrustEvidence, may_trust
+from cinderway.entry.fleet._trust import TrustEvidence, can_trust_table
 from cinderway.table import (
     TABLE,
     TABLE_LEVEL,
@@ -41,15 +41,15 @@
 FOLLOWED_REPLICAS = 2
 FOLLOW_WAIT_MS = 2_000
 CALL_TIMEOUT_S = 4.0
-PAUSE_S = 0.2
-GOSSIP_PAUSE_S = 1.0
-CURRENT_TIMEOUT_MS = 2_000
-HEARD_SAMPLE = 24
+RETRY_PAUSE_S = 0.2
+GOSSIP_INTERVAL_S = 1.0
+LEADER_TIMEOUT_MS = 2_000
+HEARD_SAMPLE_SIZE = 24
 
 
 @dataclass
 class TableFollower:
-    """Installs whatever newer table it hears of; never an older one."""
+    """Installs each newer table that it receives, and never an older one."""
 
     settings: EntrySettings
     board: Blackboard
@@ -61,7 +61,7 @@
 
     @property
     def route(self) -> Route:
-        """What serves other entries that ask this one for the table."""
+        """The route that serves the table to other entries."""
         return Route(TABLE, self._serve)
 
     def start(self) -> None:
@@ -71,10 +71,10 @@
         for position in range(min(FOLLOWED_REPLICAS, len(addresses))):
             self.tasks.start_soon(self._follow, addresses, position)
         self.tasks.start_soon(self._gossip)
-        self.tasks.start_soon(self._become_trusted)
+        self.tasks.start_soon(self._wait_until_trusted)
 
     def report(self) -> EntryReport:
-        """Say what this entry is and has in force."""
+        """Return this entry's identity and the revision that it has in force."""
         return EntryReport(
             self.settings.name,
             self.settings.data_hall,
@@ -91,39 +91,40 @@
         while True:
             address = addresses[position % len(addresses)]
             try:
-                self._take(await self._ask(address, FOLLOW_WAIT_MS))
+                self._receive_answer(await self._call(address, FOLLOW_WAIT_MS))
             except CinderwayError as error:
-                logger.debug("following the table: %s", error)
-                # Past the replica that the other follower is on.
+                logger.debug("cannot follow the table: %s", error)
+                # Skip the replica that the other follower uses.
                 position += FOLLOWED_REPLICAS - 1
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(RETRY_PAUSE_S)
 
     async def _gossip(self) -> None:
         while True:
-            await anyio.sleep(GOSSIP_PAUSE_S * (0.5 + self.board.rng.random()))
+            await anyio.sleep(GOSSIP_INTERVAL_S * (0.5 + self.board.rng.random()))
             self.board.fleet.forget_gone(monotonic_ms())
             peers = self._peer_addresses()
             if peers:
-                await self._ask_peer(self.board.rng.choice(peers))
-            # Besides the two that it follows, so that each replica hears of every
-            # entry before it decides what the fleet can take.
-            await self._show_up_at(self.board.rng.choice(self.settings.control))
+                await self._fetch_from_peer(self.board.rng.choice(peers))
+            # Also report to a random replica, not only to the two followed ones, so
+            # that each replica knows of every entry before it decides which edits all
+            # entries can take.
+            await self._report_to_replica(self.board.rng.choice(self.settings.control))
 
-    async def _ask_peer(self, address: Address) -> None:
+    async def _fetch_from_peer(self, address: Address) -> None:
         try:
-            answer = await self._ask(address, 0)
+            answer = await self._call(address, 0)
         except CinderwayError as error:
-            logger.debug("asking a peer: %s", error)
+            logger.debug("cannot fetch the table from a peer: %s", error)
             return
-        self._take(answer)
+        self._receive_answer(answer)
         if answer.is_trusted:
-            self._trust.note_trusted_peer(address)
+            self._trust.record_trusted_peer(address)
 
-    async def _show_up_at(self, address: Address) -> None:
+    async def _report_to_replica(self, address: Address) -> None:
         try:
-            self._take(await self._ask(address, 0))
+            self._receive_answer(await self._call(address, 0))
         except CinderwayError as error:
-            logger.debug("showing up at a control replica: %s", error)
+            logger.debug("cannot report to a control replica: %s", error)
 
     def _peer_addresses(self) -> list[Address]:
         now_ms = monotonic_ms()
@@ -132,37 +133,39 @@
         known.discard(self.settings.listen)
         return sorted(known)
 
-    async def _ask(self, address: Address, wait_ms: int) -> TableAnswer:
+    async def _call(self, address: Address, wait_ms: int) -> TableAnswer:
         client = self._clients.get(address)
         if client is None:
             client = self._clients[address] = RpcClient(address, TABLE, self.identity)
             self.tasks.start_soon(client.run)
-        answer = await client.call(self._request(wait_ms), CALL_TIMEOUT_S)
+        answer = await client.call(self._build_request(wait_ms), CALL_TIMEOUT_S)
         if isinstance(answer, Failure):
             raise answer.error(address)
         return answer
 
-    def _request(self, wait_ms: int, must_be_current: bool = False) -> FollowTable:
+    def _build_request(
+        self, wait_ms: int, must_be_current: bool = False
+    ) -> FollowTable:
         known = self.board.table.revision if len(self.board.table) else 0
         return FollowTable(self.report(), known, wait_ms, must_be_current)
 
-    def _take(self, answer: TableAnswer) -> None:
+    def _receive_answer(self, answer: TableAnswer) -> None:
         self.board.fleet.hear_all(answer.heard, monotonic_ms())
-        self._trust.note_own_revision(answer.own_revision)
-        self._install(answer.delta)
+        self._trust.record_own_revision(answer.own_revision)
+        self._apply_delta(answer.delta)
 
-    def _install(self, delta: TableDelta) -> None:
+    def _apply_delta(self, delta: TableDelta) -> None:
         before_revision = self.board.table.revision
         if delta.revision <= before_revision:
             return
         try:
             is_newer = self.board.table.install(delta)
         except CinderwayError as error:
-            # The routes derived from the last whole table stay in use until the
-            # next answer brings a whole one.
-            logger.warning("a table could not be installed: %s", error)
+            # The routes derived from the last valid table stay in use until the next
+            # answer brings a complete table.
+            logger.warning("cannot install the table: %s", error)
             self.board.table = Table()
-            # The same revision may be installed again, but none before it.
+            # The revision that was in force may be installed again, but no older one.
             self.board.table.revision = max(before_revision - 1, 0)
             return
         if is_newer:
@@ -172,30 +175,30 @@
 
     # Trust.
 
-    async def _become_trusted(self) -> None:
-        """Find out, once after the start, that no newer table was in force here."""
+    async def _wait_until_trusted(self) -> None:
+        """Wait after the start until the table is known not to be a step back."""
         control = GroupClient(self.settings.control, TABLE, self.identity, self.tasks)
         started_at_ms = monotonic_ms()
         while not self.board.is_table_trusted:
-            await self._ask_leader(control)
-            self.board.is_table_trusted = may_trust(
+            await self._fetch_from_leader(control)
+            self.board.is_table_trusted = can_trust_table(
                 self._trust,
                 revision=self.board.table.revision,
                 configured_peers=len(self.settings.peers),
                 waited_ms=monotonic_ms() - started_at_ms,
             )
             if not self.board.is_table_trusted:
-                await anyio.sleep(PAUSE_S)
+                await anyio.sleep(RETRY_PAUSE_S)
         logger.info("serving by table revision %d", self.board.table.revision)
 
-    async def _ask_leader(self, control: GroupClient) -> None:
-        deadline_ms = monotonic_ms() + CURRENT_TIMEOUT_MS
+    async def _fetch_from_leader(self, control: GroupClient) -> None:
+        deadline_ms = monotonic_ms() + LEADER_TIMEOUT_MS
         try:
-            answer = await control.call(self._request(0, True), deadline_ms)
+            answer = await control.call(self._build_request(0, True), deadline_ms)
         except CinderwayError as error:
-            logger.debug("no current table: %s", error)
+            logger.debug("cannot fetch the table from the leader: %s", error)
             return
-        self._take(answer)
+        self._receive_answer(answer)
         self._trust.is_confirmed_by_leader = answer.is_current
 
     # Serving peers.
@@ -205,7 +208,7 @@
 
     async def _answer(self, name: str, request: Message) -> Message:
         if not isinstance(request, FollowTable):
-            return _not_here(request, self.settings.listen)
+            return _build_not_leader(request, self.settings.listen)
         now_ms = monotonic_ms()
         own_revision = self.board.fleet.hear(request.report, now_ms)
         return TableAnswer(
@@ -214,11 +217,11 @@
             is_current=False,
             is_trusted=self.board.is_table_trusted,
             own_revision=own_revision,
-            heard=self.board.fleet.sample(HEARD_SAMPLE, now_ms, self.board.rng),
+            heard=self.board.fleet.sample(HEARD_SAMPLE_SIZE, now_ms, self.board.rng),
         )
 
 
-def _not_here(request: Message, address: Address) -> Failure:
+def _build_not_leader(request: Message, address: Address) -> Failure:
     return Failure(
         ErrorCode.NOT_LEADER,
         f"an entry does not take {type(request).__name__}; ask a control replica",
--- a/src/cinderway/wire/__init__.py
+++ b/src/cinderway/wire/__init__.py
@@ -1,8 +1,8 @@
-"""Conversations between cinderway's own processes: framed, checked, authenticated.
+"""The wire protocol between cinderway's own processes: framed and authenticated.
 
-A conversation is a Cap'n Proto schema and the message types that go over it.
-Frames are length-prefixed and limited in size; both sides prove that they hold
-the shared key before any message is read.
+A conversation is one protocol: a Cap'n Proto schema and its message types. Frames are
+length-prefixed and limited in size; both sides prove that they hold the shared key
+before any message is read.
 """
 
 from cinderway.wire._codec import (
--- a/src/cinderway/wire/_connection.py
+++ b/src/cinderway/wire/_connection.py
@@ -13,23 +13,24 @@
 from cinderway.wire._codec import Conversation, Envelope, Message
 
 LENGTH_BYTES = 4
-# Of a peer that has proved itself; a ledger's snapshot is one frame.
+# The limit for authenticated peers; it leaves room for the snapshot of a ledger, which
+# is sent as one frame.
 FRAME_LIMIT_BYTES = 256 * 1024 * 1024
 HELLO_FRAME_LIMIT_BYTES = 4096
-# Read at a time: several messages that have come together, or a part of a large one.
+# Bytes per read: several small messages that arrived together, or part of a large one.
 CHUNK_BYTES = 65_536
 HELLO_TIMEOUT_S = 1.0
-# A peer without power says nothing, and TCP would go on sending at growing intervals:
-# long after the peer is back, the connection would still look open. Several round trips
-# and a few lost packets take less.
-UNACKNOWLEDGED_LIMIT_MS = 1_000
+# A peer that has lost power sends nothing, and TCP would retransmit at growing
+# intervals: the connection would still look open long after the peer is back. The
+# timeout leaves room for several round trips and a few lost packets.
+UNACKNOWLEDGED_TIMEOUT_MS = 1_000
 NONCE_BYTES = 32
 CLIENT_PROOF = b"client"
 SERVER_PROOF = b"server"
 
 
 class Hello(Message, frozen=True):
-    """First frame of the connecting side: who it is and what it wants to talk."""
+    """First frame of the connecting side: its name and the conversation it wants."""
 
     conversation: str
     version: int
@@ -38,7 +39,7 @@
 
 
 class Challenge(Message, frozen=True):
-    """The accepting side's answer: its own proof, and a nonce for the other's."""
+    """The accepting side's answer: its own proof, and a nonce for the peer's proof."""
 
     name: str
     nonce: bytes
@@ -46,17 +47,17 @@
 
 
 class Proof(Message, frozen=True):
-    """The connecting side's proof that it holds the key."""
+    """The connecting side's proof that it holds the shared key."""
 
     proof: bytes
 
 
 class Welcome(Message, frozen=True):
-    """The accepting side takes the connection."""
+    """The accepting side accepts the connection."""
 
 
 class Refusal(Message, frozen=True):
-    """The accepting side does not take the connection, and why."""
+    """The accepting side rejects the connection, with the reason."""
 
     code: ErrorCode
     detail: str
@@ -67,16 +68,18 @@
 
 @dataclass(frozen=True)
 class Identity:
-    """The name a process goes by and the key it shares with the fleet."""
+    """The name of a process and the key that it shares with the fleet."""
 
     name: str
     shared_key: bytes
 
 
-def limit_unacknowledged(stream: SocketStream) -> None:
-    """Let a connection break when the peer confirms no bytes for a while."""
+def set_unacknowledged_timeout(stream: SocketStream) -> None:
+    """Make a connection fail if sent data stays unacknowledged for too long."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
+    raw.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS
+    )
 
 
 class Connection:
@@ -85,30 +88,30 @@
     def __init__(self, stream: SocketStream, conversation: Conversation, peer: str):
         self.peer = peer
         self.conversation = conversation
-        self._frames = _Frames(stream, peer)
+        self._frames = _FrameStream(stream, peer)
 
     async def send(self, message: Message, call_id: int = 0) -> None:
-        """Send one message; concurrent senders' frames never mix."""
+        """Send one message; frames of concurrent senders are never interleaved."""
         await self.send_encoded([self.conversation.encode(message, call_id)])
 
     async def send_encoded(self, payloads: Sequence[bytes]) -> None:
-        """Send messages that the conversation encoded, in one go.
+        """Send messages that are already encoded, in one write.
 
-        For what many peers are told alike: encoding costs more than sending.
+        For messages that go to many peers alike: encoding costs more than sending.
         """
         await self._frames.send(*payloads)
 
     async def receive(self) -> Envelope:
-        """Return the next message; a frame that cannot be read raises.
+        """Return the next message; raises CinderwayError if it cannot be decoded.
 
-        Cancelled, it loses nothing: the next call goes on where it was.
+        Cancelling loses no data: the next call continues where this one stopped.
         """
         payload = await self._frames.receive(FRAME_LIMIT_BYTES)
         return self.conversation.decode(payload, peer=self.peer)
 
     @property
     def is_receiving(self) -> bool:
-        """Whether a message has begun to come and is not whole yet."""
+        """Whether received data, such as part of a message, is still to be returned."""
         return self._frames.is_receiving
 
     async def aclose(self) -> None:
@@ -118,7 +121,7 @@
 
 @dataclass
 class Traffic:
-    """Bytes of all frames of this process since its start."""
+    """Bytes of all frames that this process has sent and received."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -127,22 +130,22 @@
 traffic = Traffic()
 
 
-class _Frames:
+class _FrameStream:
     def __init__(self, stream: SocketStream, peer: str):
         self.stream = stream
         self.peer = peer
-        # Without contention a send goes out at once, with no turn of the event loop.
+        # Uncontended sends do not yield to the event loop first.
         self._send_lock = anyio.Lock(fast_acquire=True)
-        # What has come and was not handed out yet. A receiver that is cancelled takes
-        # nothing from it, and another goes on.
-        self._received = bytearray()
+        # Received bytes that are not yet returned. A cancelled receive removes none of
+        # them, so the next one continues.
+        self._buffer = bytearray()
 
     @property
     def is_receiving(self) -> bool:
-        return bool(self._received)
+        return bool(self._buffer)
 
     async def send(self, *payloads: bytes) -> None:
-        data = b"".join(self._framed(payload) for payload in payloads)
+        data = b"".join(self._encode_frame(payload) for payload in payloads)
         try:
             async with self._send_lock:
                 await self.stream.send(data)
@@ -152,24 +155,24 @@
                 ErrorCode.PEER_UNREACHABLE, "the connection broke", Step.SEND
             ) from error
 
-    def _framed(self, payload: bytes) -> bytes:
+    def _encode_frame(self, payload: bytes) -> bytes:
         if len(payload) > FRAME_LIMIT_BYTES:
             raise self._error(
                 ErrorCode.FRAME_INVALID,
-                f"a frame of {len(payload)} bytes is over {FRAME_LIMIT_BYTES}",
+                f"frame of {len(payload)} bytes exceeds {FRAME_LIMIT_BYTES} bytes",
                 Step.SEND,
             )
         return len(payload).to_bytes(LENGTH_BYTES, "big") + payload
 
     async def receive(self, limit_bytes: int) -> bytes:
-        """Return the next frame; those that have come together cost one wait."""
+        """Return the next payload; frames that arrive together take one read."""
         while True:
-            payload = self._next_received(limit_bytes)
+            payload = self._pop_frame(limit_bytes)
             if payload is not None:
                 traffic.received_bytes += LENGTH_BYTES + len(payload)
                 return payload
             try:
-                self._received += await self.stream.receive(CHUNK_BYTES)
+                self._buffer += await self.stream.receive(CHUNK_BYTES)
             except (
                 anyio.BrokenResourceError,
                 anyio.ClosedResourceError,
@@ -180,21 +183,21 @@
                     ErrorCode.PEER_UNREACHABLE, "the connection ended", Step.RECEIVE
                 ) from error
 
-    def _next_received(self, limit_bytes: int) -> bytes | None:
-        """Take the first frame out of what has come; None if it is not whole yet."""
-        if len(self._received) < LENGTH_BYTES:
+    def _pop_frame(self, limit_bytes: int) -> bytes | None:
+        """Remove the first frame from the buffer; None if it is not complete yet."""
+        if len(self._buffer) < LENGTH_BYTES:
             return None
-        end = LENGTH_BYTES + int.from_bytes(self._received[:LENGTH_BYTES], "big")
+        end = LENGTH_BYTES + int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
         if end - LENGTH_BYTES > limit_bytes:
             raise self._error(
                 ErrorCode.FRAME_INVALID,
-                f"a frame announces {end - LENGTH_BYTES} bytes; {limit_bytes} allowed",
+                f"frame of {end - LENGTH_BYTES} bytes exceeds {limit_bytes} bytes",
                 Step.RECEIVE,
             )
-        if len(self._received) < end:
+        if len(self._buffer) < end:
             return None
-        payload = bytes(memoryview(self._received)[LENGTH_BYTES:end])
-        del self._received[:end]
+        payload = bytes(memoryview(self._buffer)[LENGTH_BYTES:end])
+        del self._buffer[:end]
         return payload
 
     async def send_hello(self, message: Message) -> None:
@@ -209,14 +212,14 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of `host:port`; hosts are IP numbers."""
+    """Split `host:port`, where the host is an IP address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def _prove(key: bytes, side: bytes, hello: Hello, server_nonce: bytes) -> bytes:
-    # Both nonces and the whole hello are covered, so that a proof can neither be
-    # replayed on another connection nor moved to another conversation or name.
+def _compute_proof(key: bytes, side: bytes, hello: Hello, server_nonce: bytes) -> bytes:
+    # The MAC covers both nonces and the whole hello, so that a proof can neither be
+    # replayed on another connection nor reused for another conversation or name.
     text = [side, hello.conversation.encode(), str(hello.version).encode()]
     text += [hello.name.encode(), hello.nonce, server_nonce]
     return hmac.digest(key, b"\0".join(text), "sha256")
@@ -228,9 +231,9 @@
     identity: Identity,
     step_timeout_s: float = HELLO_TIMEOUT_S,
 ) -> Connection:
-    """Open a connection; raises CinderwayError naming the step that failed.
+    """Open a connection; raises CinderwayError with the step that failed.
 
-    Connecting and the hello may each take `step_timeout_s`.
+    `step_timeout_s` limits the TCP connect and the handshake separately.
     """
     host, port = split_address(address)
     try:
@@ -243,23 +246,23 @@
             step=Step.CONNECT,
             peer=address,
         ) from error
-    limit_unacknowledged(stream)
+    set_unacknowledged_timeout(stream)
     try:
         with anyio.fail_after(step_timeout_s):
-            return await _greet(stream, address, conversation, identity)
+            return await _authenticate(stream, address, conversation, identity)
     except BaseException as error:
         await anyio.aclose_forcefully(stream)
         if not isinstance(error, TimeoutError):
             raise
         raise CinderwayError(
             ErrorCode.PEER_UNREACHABLE,
-            "no answer to the hello",
+            "the handshake timed out",
             step=Step.HELLO,
             peer=address,
         ) from error
 
 
-async def _greet(
+async def _authenticate(
     stream: SocketStream, peer: str, conversation: Conversation, identity: Identity
 ) -> Connection:
     connection = Connection(stream, conversation, peer)
@@ -272,10 +275,10 @@
     )
     await frames.send_hello(hello)
     challenge = _expect(await frames.receive_hello(), Challenge, peer)
-    wanted = _prove(identity.shared_key, SERVER_PROOF, hello, challenge.nonce)
-    if not hmac.compare_digest(wanted, challenge.proof):
+    expected = _compute_proof(identity.shared_key, SERVER_PROOF, hello, challenge.nonce)
+    if not hmac.compare_digest(expected, challenge.proof):
         raise _authentication_failed(peer)
-    proof = _prove(identity.shared_key, CLIENT_PROOF, hello, challenge.nonce)
+    proof = _compute_proof(identity.shared_key, CLIENT_PROOF, hello, challenge.nonce)
     await frames.send_hello(Proof(proof=proof))
     _expect(await frames.receive_hello(), Welcome, peer)
     return connection
@@ -284,19 +287,19 @@
 async def accept(
     stream: SocketStream, conversations: dict[str, Conversation], identity: Identity
 ) -> tuple[Connection, str]:
-    """Take a peer's hello; return the connection and the name the peer gave."""
+    """Authenticate a connecting peer; return the connection and the peer's name."""
     remote = stream.extra(anyio.abc.SocketAttribute.remote_address)
     peer = f"{remote[0]}:{remote[1]}"
-    limit_unacknowledged(stream)
-    frames = _Frames(stream, peer)
+    set_unacknowledged_timeout(stream)
+    frames = _FrameStream(stream, peer)
     with anyio.fail_after(HELLO_TIMEOUT_S):
         hello = _expect(await frames.receive_hello(), Hello, peer)
         nonce = secrets.token_bytes(NONCE_BYTES)
-        proof = _prove(identity.shared_key, SERVER_PROOF, hello, nonce)
+        proof = _compute_proof(identity.shared_key, SERVER_PROOF, hello, nonce)
         await frames.send_hello(Challenge(name=identity.name, nonce=nonce, proof=proof))
         answer = _expect(await frames.receive_hello(), Proof, peer)
-        wanted = _prove(identity.shared_key, CLIENT_PROOF, hello, nonce)
-        if not hmac.compare_digest(wanted, answer.proof):
+        expected = _compute_proof(identity.shared_key, CLIENT_PROOF, hello, nonce)
+        if not hmac.compare_digest(expected, answer.proof):
             error = _authentication_failed(peer)
             await frames.send_hello(Refusal(code=error.code, detail=error.detail))
             raise error
@@ -311,15 +314,15 @@
     return connection, hello.name
 
 
-def _expect(message: Message, wanted: type, peer: str):
+def _expect(message: Message, expected: type, peer: str):
     match message:
         case Refusal(code=code, detail=detail):
             raise CinderwayError(code, detail, step=Step.HELLO, peer=peer)
-        case _ if isinstance(message, wanted):
+        case _ if isinstance(message, expected):
             return message
     raise CinderwayError(
         ErrorCode.FRAME_INVALID,
-        f"expected {wanted.__name__} in the hello, got {type(message).__name__}",
+        f"expected {expected.__name__} in the handshake, got {type(message).__name__}",
         step=Step.HELLO,
         peer=peer,
     )
@@ -337,10 +340,10 @@
 def _version_mismatch(
     hello: Hello, conversations: dict[str, Conversation], peer: str
 ) -> CinderwayError:
-    spoken = ", ".join(f"{c.name} {c.version}" for c in conversations.values())
+    supported = ", ".join(f"{c.name} {c.version}" for c in conversations.values())
     return CinderwayError(
         ErrorCode.VERSION_MISMATCH,
-        f"asked for {hello.conversation} {hello.version}; spoken here: {spoken}",
+        f"requested {hello.conversation} {hello.version}; supported here: {supported}",
         step=Step.HELLO,
         peer=peer,
     )
--- a/src/cinderway/wire/_group.py
+++ b/src/cinderway/wire/_group.py
@@ -1,4 +1,4 @@
-"""Ask whichever replica of a group leads."""
+"""Call the leader of a replicated group."""
 
 import anyio
 from anyio.abc import TaskGroup
@@ -15,10 +15,10 @@
 
 
 class GroupClient:
-    """Calls the leader of a group, following it when it changes.
+    """Calls the leader of a group and finds the new one when it changes.
 
-    A call is sent again only while the group says that it was not carried out, or,
-    for requests that may be repeated (`is_repeatable`), after a lost answer too.
+    A call is retried if no connection could be opened or the replica answered that it
+    is not the leader; repeatable requests (`is_repeatable`) also after a lost answer.
     """
 
     def __init__(
@@ -41,32 +41,32 @@
         """Return the leader's answer; raises the last error at the deadline."""
         failure = CinderwayError(
             ErrorCode.DEADLINE_PASSED,
-            "no time left to ask",
+            "the deadline passed before the call was sent",
             step=Step.SEND,
             peer=self._leader,
         )
         while monotonic_ms() < deadline_ms:
-            asked = self._leader
+            target = self._leader
             try:
-                answer = await self._client_of(asked).call(
+                answer = await self._get_client(target).call(
                     message, _timeout_s(deadline_ms)
                 )
             except CinderwayError as error:
                 if not is_repeatable and error.step is not Step.CONNECT:
                     raise
                 failure = error
-                self._leader = self._address_after(asked)
+                self._leader = self._next_address(target)
             else:
                 if not isinstance(answer, Failure):
                     return answer
-                failure = answer.error(asked)
+                failure = answer.error(target)
                 if failure.code is not ErrorCode.NOT_LEADER:
                     raise failure
-                self._leader = answer.leader or self._address_after(asked)
+                self._leader = answer.leader or self._next_address(target)
             await anyio.sleep(RETRY_PAUSE_S)
         raise failure
 
-    def _client_of(self, address: str) -> RpcClient:
+    def _get_client(self, address: str) -> RpcClient:
         client = self._clients.get(address)
         if client is None:
             client = RpcClient(address, self._conversation, self._identity)
@@ -74,7 +74,7 @@
             self._tasks.start_soon(client.run)
         return client
 
-    def _address_after(self, address: str) -> str:
+    def _next_address(self, address: str) -> str:
         if address not in self._addresses:
             return self._addresses[0]
         position = self._addresses.index(address)
--- a/src/cinderway/wire/_rpc.py
+++ b/src/cinderway/wire/_rpc.py
@@ -1,4 +1,4 @@
-"""Calls with answers over a connection, many at a time."""
+"""Concurrent request-response calls over one connection."""
 
 from collections.abc import Awaitable, Callable
 
@@ -12,7 +12,7 @@
 
 
 async def serve_calls(connection: Connection, name: str, handler: CallHandler) -> None:
-    """Answer every call on a connection, each in a task of its own."""
+    """Answer every call on a connection, each in its own task."""
 
     async def answer(call_id: int, message: Message) -> None:
         reply = await handler(name, message)
@@ -30,7 +30,7 @@
         except CinderwayError as error:
             ended = error
             tasks.cancel_scope.cancel()
-    # Raised outside of the task group, which would wrap it in an exception group.
+    # Raised outside the task group, which would wrap it in an exception group.
     raise ended
 
 
@@ -41,11 +41,11 @@
 
 
 class RpcClient:
-    """Calls one peer over one connection that is opened when first needed.
+    """Calls one peer over one connection, which is opened when first needed.
 
-    Run `run` in a task group for as long as the client is used. A call whose
-    connection ends raises PEER_UNREACHABLE: whether the peer acted on it is then
-    unknown to the caller, and what to do about that is the caller's to decide.
+    `run` must run in a task group for as long as the client is used. If the connection
+    ends during a call, the call raises PEER_UNREACHABLE: whether the peer acted on it
+    is then unknown, and the code that made the call decides what to do.
     """
 
     def __init__(self, address: str, conversation: Conversation, identity: Identity):
@@ -72,7 +72,7 @@
         self._next_call_id += 1
         try:
             with anyio.fail_after(timeout_s):
-                connection = await self._connected()
+                connection = await self._get_connection()
                 self._pending[call_id] = pending
                 await connection.send(message, call_id)
                 await pending.done.wait()
@@ -94,7 +94,7 @@
             )
         return pending.reply
 
-    async def _connected(self) -> Connection:
+    async def _get_connection(self) -> Connection:
         async with self._connect_lock:
             if self._connection is None:
                 self._connection = await connect(
--- a/src/cinderway/wire/_server.py
+++ b/src/cinderway/wire/_server.py
@@ -1,4 +1,4 @@
-"""Accept authenticated connections and hand each to its conversation's handler."""
+"""Accept authenticated connections and dispatch each to its conversation's handler."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A conversation and what serves it."""
+    """A conversation and the handler that serves its connections."""
 
     conversation: Conversation
     handler: Handler
@@ -31,7 +31,7 @@
     *,
     task_status: TaskStatus[str] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; reports the bound `host:port` as started.
+    """Serve until cancelled; `task_status` reports the bound `host:port`.
 
     An error on one connection ends that connection only.
     """
@@ -46,10 +46,10 @@
             except CinderwayError as error:
                 logger.debug("connection ended: %s", error)
             except TimeoutError:
-                logger.debug("connection ended: no hello in time")
+                logger.debug("connection ended: the handshake timed out")
             except Exception:
-                # What one peer says must not end the process for all others.
-                logger.exception("a connection ended by an error that nobody foresaw")
+                # An error on one peer's connection must not end the process for others.
+                logger.exception("connection ended by an unexpected error")
 
     host, port = split_address(address)
     try:
--- a/src/cinderway/wire/schemas/catalog.capnp
+++ b/src/cinderway/wire/schemas/catalog.capnp
@@ -1,7 +1,7 @@
 @0xb7d1e64a0c93f258;
-# Entries and control replicas about the service catalog.
-# Where a message has a field `packed`, that holds all of it as MessagePack; the fields
-# before it are read of builds that sent them one by one.
+# Protocol between entries and control replicas for the service catalog.
+# Where a message has a field `packed`, that field holds the whole message as MessagePack.
+# The fields before it are read only from earlier builds, which sent them separately.
 
 struct Frame {
   callId @0 :UInt64;
--- a/src/cinderway/wire/schemas/hello.capnp
+++ b/src/cinderway/wire/schemas/hello.capnp
@@ -1,5 +1,5 @@
 @0xa3f1c9d27b5e4801;
-# First frames of every connection: both sides prove that they hold the shared key.
+# Handshake of every connection: both sides prove that they hold the shared key.
 
 struct Frame {
   callId @0 :UInt64;
--- a/src/cinderway/wire/schemas/judgement.capnp
+++ b/src/cinderway/wire/schemas/judgement.capnp
@@ -1,5 +1,5 @@
 @0xc6d4f01e92ab7305;
-# Entries report what they see; assessors answer with what they judge.
+# Protocol between entries, which report evidence, and assessors, which send verdicts.
 
 struct Frame {
   callId @0 :UInt64;
--- a/src/cinderway/wire/schemas/ledger.capnp
+++ b/src/cinderway/wire/schemas/ledger.capnp
@@ -1,5 +1,5 @@
 @0xb8c2e94a1d50f704;
-# Entries and operators with the ledger of run-once requests.
+# Protocol of entries and operators with the ledger of run-once requests.
 
 struct Frame {
   callId @0 :UInt64;
--- a/src/cinderway/wire/schemas/report.capnp
+++ b/src/cinderway/wire/schemas/report.capnp
@@ -1,5 +1,5 @@
 @0xe2a90b7c4d61f806;
-# Operators ask entries for service levels and ejections.
+# Protocol by which operators read service levels and ejections from entries.
 
 struct Frame {
   callId @0 :UInt64;
--- a/src/cinderway/wire/schemas/table.capnp
+++ b/src/cinderway/wire/schemas/table.capnp
@@ -1,5 +1,5 @@
 @0x9e5b02d4c7f1a603;
-# Operators, entries and control replicas about the table.
+# Protocol between operators, entries and control replicas for the configuration table.
 
 struct Frame {
   callId @0 :UInt64;
--- a/tests/entry/fleet/test_catalog_follower.py
+++ b/tests/entry/fleet/test_catalog_follower.py
@@ -54,7 +54,7 @@
     async def send(self, message, call_id=0):
         granted = RetryAnswer(is_granted=True)
         envelope = Envelope(call_id, granted)
-        call_later(self.answer_ms, self.follower._take, envelope, HERE, 0)
+        call_later(self.answer_ms, self.follower._receive_message, envelope, HERE, 0)
 
 
 class StalledReplica(SilentReplica):
@@ -83,25 +83,27 @@
         self.follower = CatalogFollower(settings, self.state, identity)
 
     def test_a_replica_that_hears_a_leader_says_how_old_the_catalog_may_be(self):
-        self.follower._hear(HERE, 300, 10_000)
+        self.follower._receive_heartbeat(HERE, 300, 10_000)
         self.assertEqual(self.state.age_ms(10_000), 300)
 
     def test_what_was_heard_after_a_long_pause_may_be_as_old_as_the_pause(self):
-        self.follower._hear(HERE, 300, 10_000)
-        self.follower._hear(HERE, 300, 18_000)
+        self.follower._receive_heartbeat(HERE, 300, 10_000)
+        self.follower._receive_heartbeat(HERE, 300, 18_000)
         self.assertGreater(self.state.age_ms(18_000), 7_000)
 
     def test_one_without_a_leader_is_left_for_another(self):
         with self.assertRaises(CinderwayError) as raised:
-            self.follower._hear(HERE, STALE_MS, 10_000)
+            self.follower._receive_heartbeat(HERE, STALE_MS, 10_000)
         self.assertEqual(raised.exception.code, ErrorCode.NO_QUORUM)
 
     def test_where_all_are_without_a_leader_an_entry_stays_with_one_for_a_while(self):
         self.follower._choice.avoid(THERE, 10_000, LEADERLESS_AVOID_MS)
-        self.follower._hear(HERE, STALE_MS, 10_000)
+        self.follower._receive_heartbeat(HERE, STALE_MS, 10_000)
         self.assertEqual(self.state.current_at_ms, 10_000 - STALE_MS)
         with self.assertRaises(CinderwayError):
-            self.follower._hear(HERE, STALE_MS, 10_000 + LEADERLESS_AVOID_MS)
+            self.follower._receive_heartbeat(
+                HERE, STALE_MS, 10_000 + LEADERLESS_AVOID_MS
+            )
 
     def spend(self, service):
         until_ms = monotonic_ms() + 60_000
@@ -124,7 +126,7 @@
             service = ServiceState(ServiceRow(name=ServiceName("x")), RetryBudget(0))
             replica = SlowGrants(self.follower, answer_ms)
             self.follower._connection = replica
-            self.follower._questions.connect(replica)
+            self.follower._requests.connect(replica)
             until_ms = monotonic_ms() + for_ms
             return await self.follower.spend(service, until_ms=until_ms)
 
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -11,7 +11,7 @@
 from cinderway.catalog import ServerLoad, ServerLoads, SuspectServers
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry._catalog_board import CatalogBoard
-from cinderway.entry.fleet._hall_peers import SERVERS_A_DATAGRAM, HallPeers
+from cinderway.entry.fleet._hall_peers import SERVERS_PER_DATAGRAM, HallPeers
 from cinderway.judgement import Bad, EvidenceLog
 from tests.entry.test_catalog_board import SERVICE, SUVA, catalog
 
@@ -50,16 +50,16 @@
     def test_what_fails_at_one_is_suspect_at_another(self):
         one, other = entry("e1"), entry("e2")
         one.state.note_alarm("a", Bad.ERROR)
-        for message in one.news():
-            other.hear(one.seal(message))
+        for message in one.take_pending_messages():
+            other.receive_datagram(one.encode_datagram(message))
         self.assertGreater(server_of(other, "a").suspect_until_ms, monotonic_ms())
         self.assertEqual(server_of(other, "b").suspect_until_ms, 0)
 
     def test_loads_are_told(self):
         one, other = entry("e1"), entry("e2")
         tell_load(one, "b", 0.5)
-        for message in one.news():
-            other.hear(one.seal(message))
+        for message in one.take_pending_messages():
+            other.receive_datagram(one.encode_datagram(message))
         server = server_of(other, "b")
         # It fades by a thousandth each millisecond.
         self.assertAlmostEqual(server.known_load, 0.5, delta=0.05)
@@ -67,25 +67,27 @@
     def test_news_is_told_once(self):
         one = entry("e1")
         one.state.note_alarm("a", Bad.ERROR)
-        self.assertEqual(len(list(one.news())), 1)
-        self.assertEqual(list(one.news()), [])
+        self.assertEqual(len(list(one.take_pending_messages())), 1)
+        self.assertEqual(list(one.take_pending_messages()), [])
 
     def test_without_the_shared_key_nothing_is_believed(self):
         stranger, other = entry("e1", key=b"another key of some length"), entry("e2")
-        told = SuspectServers(["a"], [2_000])
-        other.hear(stranger.seal(told))
-        other.hear(b"")
-        other.hear(b"\0" * 300)
+        suspects = SuspectServers(["a"], [2_000])
+        other.receive_datagram(stranger.encode_datagram(suspects))
+        other.receive_datagram(b"")
+        other.receive_datagram(b"\0" * 300)
         self.assertEqual(server_of(other, "a").suspect_until_ms, 0)
-        self.assertEqual(other.heard, 0)
+        self.assertEqual(other.received_messages, 0)
 
     def test_a_datagram_stays_below_the_size_at_which_it_is_split(self):
         one = entry("e1")
-        names = [f"i-{number:010x}" for number in range(3 * SERVERS_A_DATAGRAM)]
+        names = [f"i-{number:010x}" for number in range(3 * SERVERS_PER_DATAGRAM)]
         one.state.install(catalog(names).update_since(0), now_ms=0)
         for name in names:
             tell_load(one, name, 1.0)
-        sizes = [len(one.seal(message)) for message in one.news()]
+        sizes = [
+            len(one.encode_datagram(message)) for message in one.take_pending_messages()
+        ]
         self.assertEqual(len(sizes), 3)
         self.assertLess(max(sizes), 1_400)
 
@@ -98,14 +100,14 @@
                 tasks.start_soon(one.run)
                 tasks.start_soon(other.run)
                 with anyio.fail_after(20):
-                    while not other.heard:
+                    while not other.received_messages:
                         tell_load(one, "a", 0.75)
                         await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
         self.assertAlmostEqual(server_of(other, "a").known_load, 0.75, delta=0.05)
-        self.assertEqual(one.heard, 0)
+        self.assertEqual(one.received_messages, 0)
 
     def test_an_entry_that_follows_control_leaves_its_news_to_it(self):
         one = entry("e1", is_alone=False)
@@ -116,6 +118,6 @@
                 await one.run()
 
         anyio.run(run)
-        self.assertEqual(one.told, 0)
+        self.assertEqual(one.sent_messages, 0)
         untold = one.state.take_loads(server_of(one, "a").load_known_at_ms)
         self.assertEqual(untold, ServerLoads([ServerLoad("a", 0.75)]))
--- a/tests/entry/fleet/test_replica_choice.py
+++ b/tests/entry/fleet/test_replica_choice.py
@@ -48,21 +48,21 @@
 
     def test_away_there_is_a_better_one_unless_it_failed_a_moment_ago(self):
         chooser = choice()
-        self.assertFalse(chooser.has_better(HOME[0], 0))
-        self.assertTrue(chooser.has_better(AWAY[0], 0))
+        self.assertFalse(chooser.has_home_alternative(HOME[0], 0))
+        self.assertTrue(chooser.has_home_alternative(AWAY[0], 0))
         for address in HOME:
             chooser.avoid(address, 0)
-        self.assertFalse(chooser.has_better(AWAY[0], AVOID_MS - 1))
-        self.assertTrue(chooser.has_better(AWAY[0], AVOID_MS))
+        self.assertFalse(chooser.has_home_alternative(AWAY[0], AVOID_MS - 1))
+        self.assertTrue(chooser.has_home_alternative(AWAY[0], AVOID_MS))
 
     def test_there_is_another_to_try_until_all_have_failed(self):
         chooser = choice()
         for address in HOME[1:] + AWAY:
-            self.assertTrue(chooser.has_other(HOME[0], 0))
+            self.assertTrue(chooser.has_alternative(HOME[0], 0))
             chooser.avoid(address, 0, LEADERLESS_AVOID_MS)
-        self.assertFalse(chooser.has_other(HOME[0], LEADERLESS_AVOID_MS - 1))
-        self.assertTrue(chooser.has_other(HOME[0], LEADERLESS_AVOID_MS))
+        self.assertFalse(chooser.has_alternative(HOME[0], LEADERLESS_AVOID_MS - 1))
+        self.assertTrue(chooser.has_alternative(HOME[0], LEADERLESS_AVOID_MS))
 
     def test_the_hall_of_an_unknown_replica_is_not_known(self):
-        self.assertEqual(choice(replicas=[]).hall_of(HOME[0]), "")
+        self.assertEqual(choice(replicas=[]).find_hall(HOME[0]), "")
         self.assertFalse(choice(replicas=[]).is_home(HOME[0]))
--- a/tests/entry/fleet/test_table_follower.py
+++ b/tests/entry/fleet/test_table_follower.py
@@ -32,17 +32,17 @@
 
     def test_older_table_is_not_installed(self):
         newer, older = machine_with(5), machine_with(3)
-        self.follower._install(newer.table.delta_since(0))
-        self.follower._install(older.table.delta_since(0))
+        self.follower._apply_delta(newer.table.delta_since(0))
+        self.follower._apply_delta(older.table.delta_since(0))
         self.assertEqual(self.board.table.revision, 5)
 
     def test_damaged_table_does_not_open_the_way_back(self):
         machine = machine_with(5)
-        self.follower._install(machine.table.delta_since(0))
+        self.follower._apply_delta(machine.table.delta_since(0))
         newer = machine_with(7).table.delta_since(5)
-        self.follower._install(msgspec.structs.replace(newer, digest=1))
-        self.follower._install(machine_with(3).table.delta_since(0))
+        self.follower._apply_delta(msgspec.structs.replace(newer, digest=1))
+        self.follower._apply_delta(machine_with(3).table.delta_since(0))
         self.assertEqual(len(self.board.table), 0)
-        self.follower._install(machine_with(5).table.delta_since(0))
+        self.follower._apply_delta(machine_with(5).table.delta_since(0))
         self.assertEqual(self.board.table.revision, 5)
         self.assertIn("lookup", self.board.services)
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -22,11 +22,11 @@
 )
 from cinderway.wire._connection import (
     LENGTH_BYTES,
-    UNACKNOWLEDGED_LIMIT_MS,
+    UNACKNOWLEDGED_TIMEOUT_MS,
     Hello,
     Proof,
     Refusal,
-    _Frames,
+    _FrameStream,
 )
 
 KEY = b"a-key-of-the-fleet"
@@ -99,7 +99,7 @@
             await connection.aclose()
 
         with_server(use, noting)
-        self.assertEqual(limits_ms, [UNACKNOWLEDGED_LIMIT_MS] * 2)
+        self.assertEqual(limits_ms, [UNACKNOWLEDGED_TIMEOUT_MS] * 2)
 
     def test_a_receiver_cancelled_within_a_frame_loses_nothing(self):
         payload = TABLE.encode(ReadTable(), 7)
@@ -148,7 +148,7 @@
         async def use(address):
             host, port = address.split(":")
             stream = await anyio.connect_tcp(host, int(port))
-            frames = _Frames(stream, address)
+            frames = _FrameStream(stream, address)
             await frames.send_hello(Hello("table", 1, "stranger", b"n" * 32))
             await frames.receive_hello()
             await frames.send_hello(Proof(b"guess" * 6))
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -283,7 +283,7 @@
     Guard(
         "no proof, no service",
         "wire/_connection.py",
-        "        if not hmac.compare_digest(wanted, answer.proof):",
+        "        if not hmac.compare_digest(expected, answer.proof):",
         "        if False:",
         "tests.wire.test_wire",
     ),
