--- a/src/cinderway/entry/fleet/_allowances.py
+++ b/src/cinderway/entry/fleet/_allowances.py
@@ -44,8 +44,8 @@
 class Allowances:
     """The tokens of all accounts at one entry.
 
-    `ask` sends the replica that this entry follows an account of the tokens held and
-    used here, and returns the replica's answer, or None if there is none.
+    `ask` sends the followed replica what is held, used and wanted here, and returns its
+    answer, or None if there is none.
     """
 
     ask: AskReplica
@@ -72,12 +72,12 @@
         try:
             while monotonic_ms() >= lease.refused_until_ms:
                 if not await self._request_tokens(account.name):
-                    raise self._build_unknown_error(account)
+                    raise self._refuse_unknown(account)
                 if lease.take(monotonic_ms()):
                     return
         finally:
             lease.waiting -= 1
-        raise self._build_spent_error(account, lease)
+        raise self._refuse_spent(account, lease)
 
     def give_back(self, account: AccountRow) -> None:
         """Return the token of a request that was never sent to a backend server."""
@@ -101,7 +101,7 @@
         """Report used tokens to the replica and top up leases, until cancelled."""
         while True:
             await self._has_leases.wait()
-            await self._report_use(self._collect_due(monotonic_ms()))
+            await self._sync_leases(self._collect_due(monotonic_ms()))
             await anyio.sleep(REPORT_INTERVAL_S)
             if not self._leases:
                 self._has_leases = anyio.Event()
@@ -121,7 +121,7 @@
         """Request tokens or await the pending request; False if unanswered."""
         pending = self._pending_asks.get(name)
         if pending is None:
-            return await self._report_use([name])
+            return await self._sync_leases([name])
         with anyio.move_on_after(ANSWER_TIMEOUT_S) as waiting:
             await pending.wait()
         return not waiting.cancelled_caught
@@ -137,7 +137,7 @@
             if name not in self._pending_asks and lease.is_due(now_ms)
         ]
 
-    async def _report_use(self, names: Iterable[AccountName]) -> bool:
+    async def _sync_leases(self, names: Iterable[AccountName]) -> bool:
         """Report accounts to the replica and apply its answer; False without one."""
         leases = {name: self._leases[name] for name in names}
         if not leases:
@@ -174,7 +174,7 @@
             granted = TokenAnswer(line.granted, line.room_in_ms)
             lease.end_ask(granted, now_ms, asked_at_ms + answer.lease_ms)
 
-    def _build_spent_error(
+    def _refuse_spent(
         self, account: AccountRow, lease: AllowanceLease
     ) -> AllowanceError:
         self.refusals += 1
@@ -187,11 +187,11 @@
             room_in_ms,
         )
 
-    def _build_unknown_error(self, account: AccountRow) -> AllowanceError:
+    def _refuse_unknown(self, account: AccountRow) -> AllowanceError:
         self.refusals += 1
         return AllowanceError(
             ErrorCode.ALLOWANCE_UNKNOWN,
-            f"no control replica answered for the limit of account {account.name}",
+            f"no control replica answered whether account {account.name} may send",
             0,
         )
 
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -53,10 +53,11 @@
 APPLY_INTERVAL_MS = 200
 # How long a drain signal counts; an assessor repeats it with each sheet while it holds.
 DRAIN_VALID_MS = 2_000
-# Send times are kept for this many reports, until a sheet answers one of them.
+# The send times of this many reports are kept; sheets that answer an older report are
+# ignored.
 MAX_PENDING_REPORTS = 64
-# The name of the single group of entries that share servers' rate limits: in this mode
-# all entries know each other.
+# The name of the single group of entries that divide servers' rate limits among them: in
+# table mode all entries know each other.
 FLEET_GROUP = "fleet"
 
 
@@ -68,6 +69,7 @@
     group: int
     connection: Connection
     sequence: int = 0
+    # By the sequence number of the report.
     sent_at_ms: dict[int, int] = field(default_factory=dict)
     last_sent_at_ms: int = 0
     held: HeldSheet | None = None
@@ -75,7 +77,7 @@
 
 @dataclass
 class Reporter:
-    """Applies verdicts to the board: ejections, traffic shares and probe rates."""
+    """Reports evidence; applies verdicts to the board's ejections, shares and probes."""
 
     board: Blackboard
     evidence: EvidenceLog
--- a/tests/entry/fleet/_modelled_control.py
+++ b/tests/entry/fleet/_modelled_control.py
@@ -1,7 +1,7 @@
 """Control replicas at the far end of a slow link, in virtual time.
 
-The entry's follower and the replicas' service are the program's own code; only the
-network and the replicated group between them are modelled.
+The entry's follower and the replicas' service are production code; only the network and
+the replicated group between the replicas are simulated.
 """
 
 from collections.abc import AsyncIterator
@@ -33,13 +33,13 @@
 from cinderway.wire import Identity
 
 KEY = b"a key of sixteen"
-# Round trips of a connection's set-up: TCP, then hello and proof.
+# One-way trips that opening a connection takes: TCP, then the handshake.
 TCP_LEGS, HELLO_LEGS = 2, 4
 STEP_TIMEOUT_S = 1.0
 
 
 class ModelNode:
-    """A member of a replicated group that others have told everything."""
+    """A replicated group's node that leads and is always up to date."""
 
     def __init__(self):
         self.core = SimpleNamespace(
@@ -60,16 +60,16 @@
         await self._applied.wait()
 
     async def propose(self, data, timeout_s):
-        """Take no command of a replica's own: tests say what the group commits."""
+        """Reject the replica's own commands: tests decide what the group commits."""
         raise CinderwayError(ErrorCode.NO_QUORUM, "not modelled", step=Step.PROPOSE)
 
-    def note_applied(self):
+    def announce_applied(self):
         self._applied.set()
         self._applied = anyio.Event()
 
 
 class ModelReplica:
-    """One control replica: its machine, its service, and whether it has power."""
+    """One control replica: its state machine, its service, and whether it has power."""
 
     def __init__(self, address: Address, data_hall: DataHall):
         self.address = address
@@ -100,12 +100,12 @@
         """Apply commands that the group has committed."""
         for position, command in enumerate(commands):
             self.machine.apply(index + position, encode_command(command))
-        self.node.note_applied()
+        self.node.announce_applied()
 
 
 @dataclass
 class _End:
-    """One side's view of a connection; what it sends takes a while to arrive."""
+    """One end of a simulated connection; what it sends arrives after a delay."""
 
     peer: str
     replica: ModelReplica
@@ -113,9 +113,9 @@
     incoming: list[bytes] = field(default_factory=list)
     other: "_End | None" = None
     is_closed: bool = False
-    # Messages of the model arrive whole.
+    # Simulated messages always arrive complete.
     is_receiving: bool = False
-    _has_come: anyio.Event = field(default_factory=anyio.Event)
+    _has_arrived: anyio.Event = field(default_factory=anyio.Event)
 
     async def send(self, message, call_id=0):
         await self.send_encoded([CATALOG.encode(message, call_id)])
@@ -131,24 +131,24 @@
         while not self.incoming:
             if self.is_closed:
                 raise self._error("the connection ended", Step.RECEIVE)
-            self._has_come = anyio.Event()
-            await self._has_come.wait()
+            self._has_arrived = anyio.Event()
+            await self._has_arrived.wait()
         return CATALOG.decode(self.incoming.pop(0), peer=self.peer)
 
     async def aclose(self):
         self.is_closed = True
-        self._has_come.set()
+        self._has_arrived.set()
         if self.replica.has_power:
             call_later(self.control.leg_ms, self.other.end)
 
     def deliver(self, payload):
         if self.replica.has_power:
             self.incoming.append(payload)
-            self._has_come.set()
+            self._has_arrived.set()
 
     def end(self):
         self.is_closed = True
-        self._has_come.set()
+        self._has_arrived.set()
 
     def _error(self, detail, step):
         return CinderwayError(
@@ -159,7 +159,7 @@
 class ModelControl:
     """All control replicas, as one entry reaches them.
 
-    Each way takes `leg_ms`; it may change at any time.
+    A one-way trip takes `leg_ms`, which may change at any time.
     """
 
     def __init__(self, leg_ms: float, replicas: list[ModelReplica]):
@@ -179,7 +179,7 @@
     async def connect(
         self, address, conversation, identity, step_timeout_s=STEP_TIMEOUT_S
     ):
-        """Open a connection as `cinderway.wire.connect` does, after its round trips."""
+        """Open a connection like `cinderway.wire.connect`, with its round trips."""
         replica = self.replicas[address]
         await self._travel(replica, TCP_LEGS, step_timeout_s, Step.CONNECT)
         await self._travel(replica, HELLO_LEGS, step_timeout_s, Step.HELLO)
--- a/tests/entry/fleet/test_assessor_server.py
+++ b/tests/entry/fleet/test_assessor_server.py
@@ -1,4 +1,4 @@
-"""Entries that report to one assessor learn from it which requests end servers."""
+"""An assessor tells its reporting entries which requests end server processes."""
 
 import random
 import unittest
@@ -21,17 +21,17 @@
 D = RequestDigest(b"d" * 16)
 
 
-class ReportingEntry:
-    """One entry: what it tells, and how requests stand by what it hears."""
+class StubEntry:
+    """A connection of one entry: the messages it sends, and the rulings it receives."""
 
-    def __init__(self, *told):
-        self.told = list(told)
+    def __init__(self, *outgoing):
+        self.outgoing = list(outgoing)
         self.standings = []
 
     async def receive(self):
-        if not self.told:
+        if not self.outgoing:
             await anyio.sleep_forever()
-        return Envelope(0, self.told.pop(0))
+        return Envelope(0, self.outgoing.pop(0))
 
     async def send(self, message):
         if isinstance(message, RequestRulings):
@@ -43,8 +43,8 @@
 
 
 class AssessorServerTests(unittest.TestCase):
-    def hear(self, *entries, until):
-        """Serve these entries until one of them has heard that many rulings."""
+    def serve_until(self, *entries, until):
+        """Serve these entries until each has received that many rulings."""
         board = Blackboard(EntryName("e0"), DataHall("suva"), random.Random(1))
         server = AssessorServer(board)
 
@@ -61,8 +61,8 @@
         anyio.run(run)
 
     def test_ends_that_different_entries_saw_are_counted_together(self):
-        entries = [ReportingEntry(ended("a", "b")), ReportingEntry(ended("c"))]
-        self.hear(*entries, until=1)
+        entries = [StubEntry(ended("a", "b")), StubEntry(ended("c"))]
+        self.serve_until(*entries, until=1)
         for entry in entries:
             self.assertIs(entry.standings[-1], Standing.REFUSED)
 
@@ -70,6 +70,6 @@
         tally = PoisonTally()
         rulings = [tally.note_end(D, server, 0) for server in ("a", "b", "c")]
         known = RequestRulings([RequestRuling.of(rulings[-1], 0)])
-        entries = [ReportingEntry(known), ReportingEntry()]
-        self.hear(*entries, until=1)
+        entries = [StubEntry(known), StubEntry()]
+        self.serve_until(*entries, until=1)
         self.assertEqual(entries[1].standings, [Standing.REFUSED])
--- a/tests/entry/fleet/test_catalog_follower.py
+++ b/tests/entry/fleet/test_catalog_follower.py
@@ -1,4 +1,4 @@
-"""When an entry leaves the control replica that it follows."""
+"""When an entry abandons the control replica that it follows."""
 
 import random
 import unittest
@@ -30,7 +30,7 @@
 
 
 class SilentReplica:
-    """A connection on which nothing comes, and that ends at once."""
+    """A connection that ends at once, before any message arrives."""
 
     async def send(self, message, call_id=0):
         pass
@@ -45,7 +45,7 @@
 
 
 class SlowGrants(SilentReplica):
-    """A connection to a replica that grants each retry after a while."""
+    """A connection to a replica that grants each retry after a delay."""
 
     def __init__(self, follower, answer_ms):
         self.follower = follower
@@ -58,7 +58,7 @@
 
 
 class StalledReplica(SilentReplica):
-    """A connection that stays open and on which nothing comes."""
+    """A connection that stays open and delivers no message."""
 
     async def receive(self):
         await anyio.sleep_forever()
@@ -82,21 +82,21 @@
         identity = Identity("e1", b"a key of sixteen")
         self.follower = CatalogFollower(settings, self.state, identity)
 
-    def test_a_replica_that_hears_a_leader_says_how_old_the_catalog_may_be(self):
+    def test_a_heartbeat_of_a_replica_with_a_leader_sets_the_catalogs_age(self):
         self.follower._receive_heartbeat(HERE, 300, 10_000)
         self.assertEqual(self.state.age_ms(10_000), 300)
 
-    def test_what_was_heard_after_a_long_pause_may_be_as_old_as_the_pause(self):
+    def test_a_heartbeat_read_after_a_long_pause_may_be_as_old_as_the_pause(self):
         self.follower._receive_heartbeat(HERE, 300, 10_000)
         self.follower._receive_heartbeat(HERE, 300, 18_000)
         self.assertGreater(self.state.age_ms(18_000), 7_000)
 
-    def test_one_without_a_leader_is_left_for_another(self):
+    def test_a_replica_without_a_leader_is_abandoned_for_another(self):
         with self.assertRaises(CinderwayError) as raised:
             self.follower._receive_heartbeat(HERE, STALE_MS, 10_000)
         self.assertEqual(raised.exception.code, ErrorCode.NO_QUORUM)
 
-    def test_where_all_are_without_a_leader_an_entry_stays_with_one_for_a_while(self):
+    def test_an_entry_keeps_its_replica_while_no_replica_has_a_leader(self):
         self.follower._choice.avoid(THERE, 10_000, LEADERLESS_AVOID_MS)
         self.follower._receive_heartbeat(HERE, STALE_MS, 10_000)
         self.assertEqual(self.state.current_at_ms, 10_000 - STALE_MS)
@@ -109,7 +109,7 @@
         until_ms = monotonic_ms() + 60_000
         return anyio.run(lambda: self.follower.spend(service, until_ms=until_ms))
 
-    def test_what_was_earned_alone_is_given_up_for_the_shared_budget(self):
+    def test_the_local_retry_budget_is_emptied_when_a_replica_is_followed(self):
         row = ServiceRow(name=ServiceName("lookup"))
         service = ServiceState(row, RetryBudget(100, initial=1, maximum=1))
         self.state.board.services[row.name] = service
@@ -120,7 +120,7 @@
         self.assertTrue(self.spend(service))
 
     def retry_granted_after(self, answer_ms, for_ms):
-        """Ask for a retry of a replica that grants it late; say whether it was got."""
+        """Return whether a retry is granted by a replica that answers late."""
 
         async def ask():
             service = ServiceState(ServiceRow(name=ServiceName("x")), RetryBudget(0))
@@ -132,14 +132,16 @@
 
         return run_in_virtual_time(ask)
 
-    def test_leave_for_a_second_try_is_waited_for_while_it_is_of_use(self):
-        """A busy replica answered after 400 ms; the caller, with seconds left, got
-        the server's 500 although another server was free.
+    def test_a_retry_grant_is_awaited_until_the_deadline(self):
+        """A busy replica answered after 400 ms, later than the entry waited.
+
+        The caller got the server's 500, although its deadline was seconds away and
+        another server was free.
         """
         self.assertTrue(self.retry_granted_after(400, for_ms=3_000))
         self.assertFalse(self.retry_granted_after(400, for_ms=300))
 
-    def test_a_replica_whose_connection_went_silent_is_left(self):
+    def test_a_replica_that_goes_silent_is_abandoned(self):
         with patch.object(_catalog_follower, "SILENT_LIMIT_S", 0.01):
             with self.assertRaises(TimeoutError):
                 anyio.run(self.follower._follow, StalledReplica(), HERE)
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -1,4 +1,4 @@
-"""What entries of a hall tell each other while control is away."""
+"""Gossip between entries of a data hall while control is unreachable."""
 
 import random
 import socket
@@ -24,20 +24,22 @@
         return Address(f"127.0.0.1:{probe.getsockname()[1]}")
 
 
-def entry(name, key=KEY, is_alone=True):
+def entry(name, key=KEY, is_disconnected=True):
     board = Blackboard(EntryName(name), DataHall(SUVA), random.Random(1))
     state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
     state.install(catalog(["a", "b"]).update_since(0), now_ms=0)
-    wait = anyio.sleep if is_alone else _wait_for_ever
-    return HallPeers(state, free_address(), key, lambda: is_alone, lambda: wait(0))
+    wait = anyio.sleep if is_disconnected else _sleep_forever
+    return HallPeers(
+        state, free_address(), key, lambda: is_disconnected, lambda: wait(0)
+    )
 
 
-async def _wait_for_ever(_):
+async def _sleep_forever(_):
     await anyio.sleep_forever()
 
 
-def tell_load(peers, name, load):
-    """Let a server tell an entry its load."""
+def set_load(peers, name, load):
+    """Make a server report its load to an entry."""
     server_of(peers, name).note_load(load, monotonic_ms())
     peers.state.board.on_load(name)
 
@@ -47,7 +49,7 @@
 
 
 class HallPeersTests(unittest.TestCase):
-    def test_what_fails_at_one_is_suspect_at_another(self):
+    def test_a_server_that_fails_at_one_entry_is_suspect_at_another(self):
         one, other = entry("e1"), entry("e2")
         one.state.note_alarm("a", Bad.ERROR)
         for message in one.take_pending_messages():
@@ -55,22 +57,22 @@
         self.assertGreater(server_of(other, "a").suspect_until_ms, monotonic_ms())
         self.assertEqual(server_of(other, "b").suspect_until_ms, 0)
 
-    def test_loads_are_told(self):
+    def test_loads_are_sent(self):
         one, other = entry("e1"), entry("e2")
-        tell_load(one, "b", 0.5)
+        set_load(one, "b", 0.5)
         for message in one.take_pending_messages():
             other.receive_datagram(one.encode_datagram(message))
         server = server_of(other, "b")
-        # It fades by a thousandth each millisecond.
+        # A known load decays by a thousandth each millisecond.
         self.assertAlmostEqual(server.known_load, 0.5, delta=0.05)
 
-    def test_news_is_told_once(self):
+    def test_changes_are_sent_once(self):
         one = entry("e1")
         one.state.note_alarm("a", Bad.ERROR)
         self.assertEqual(len(list(one.take_pending_messages())), 1)
         self.assertEqual(list(one.take_pending_messages()), [])
 
-    def test_without_the_shared_key_nothing_is_believed(self):
+    def test_datagrams_without_a_valid_mac_are_dropped(self):
         stranger, other = entry("e1", key=b"another key of some length"), entry("e2")
         suspects = SuspectServers(["a"], [2_000])
         other.receive_datagram(stranger.encode_datagram(suspects))
@@ -79,19 +81,19 @@
         self.assertEqual(server_of(other, "a").suspect_until_ms, 0)
         self.assertEqual(other.received_messages, 0)
 
-    def test_a_datagram_stays_below_the_size_at_which_it_is_split(self):
+    def test_a_datagram_stays_below_the_size_at_which_it_is_fragmented(self):
         one = entry("e1")
         names = [f"i-{number:010x}" for number in range(3 * SERVERS_PER_DATAGRAM)]
         one.state.install(catalog(names).update_since(0), now_ms=0)
         for name in names:
-            tell_load(one, name, 1.0)
+            set_load(one, name, 1.0)
         sizes = [
             len(one.encode_datagram(message)) for message in one.take_pending_messages()
         ]
         self.assertEqual(len(sizes), 3)
         self.assertLess(max(sizes), 1_400)
 
-    def test_entries_that_are_alone_hear_each_other(self):
+    def test_entries_without_control_exchange_loads(self):
         one, other = entry("e1"), entry("e2")
         one.state.peers = [one.own_address, other.own_address]
 
@@ -101,7 +103,7 @@
                 tasks.start_soon(other.run)
                 with anyio.fail_after(20):
                     while not other.received_messages:
-                        tell_load(one, "a", 0.75)
+                        set_load(one, "a", 0.75)
                         await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
 
@@ -109,9 +111,9 @@
         self.assertAlmostEqual(server_of(other, "a").known_load, 0.75, delta=0.05)
         self.assertEqual(one.received_messages, 0)
 
-    def test_an_entry_that_follows_control_leaves_its_news_to_it(self):
-        one = entry("e1", is_alone=False)
-        tell_load(one, "a", 0.75)
+    def test_an_entry_that_follows_control_does_not_gossip(self):
+        one = entry("e1", is_disconnected=False)
+        set_load(one, "a", 0.75)
 
         async def run():
             with anyio.move_on_after(0.3):
--- a/tests/entry/fleet/test_lost_replica.py
+++ b/tests/entry/fleet/test_lost_replica.py
@@ -1,17 +1,14 @@
 """An entry loses the control replica that it follows, just after a change.
 
-A sheet was acknowledged, and within milliseconds the replica that acknowledged it lost
-power, before it had told all entries that followed it. Those whose links were idle had
-the sheet from another replica 1.1 s later. One whose link was busy with callers'
-downloads refused a request for a new route 3.4 s after the sheet was acknowledged, and
-others gave up replicas that were running:
-
-    entry 27: request ... answered ... catalog 177 known 3713 ms ago
-    entry 36: control replica 10.1.0.51:7220 cannot be reached:
-
-A new connection takes four round trips, each of them behind callers' bytes, and had
-half a second for the first three; then it was thrown away, its replica avoided for five
-seconds, and the next one begun.
+Guards against a change that arrives too late because the replica that acknowledged it
+loses power before it has sent it to all its entries. Entries with idle links got such a
+sheet from another replica 1.1 s later. An entry whose link was busy with callers'
+downloads refused a request for a new route 3.4 s after the sheet was acknowledged (its
+catalog was 3.7 s old), and others abandoned replicas that were running.
+
+Opening a connection takes four round trips, each queued behind callers' bytes. The
+first three had to complete within half a second; otherwise the entry abandoned the
+attempt, avoided the replica for five seconds and tried the next one.
 """
 
 import json
@@ -36,11 +33,11 @@
 HALL, OTHER_HALL = DataHall("suva"), DataHall("nadi")
 HOME_1, HOME_2, AWAY = (Address(f"10.0.0.{number}:7100") for number in (1, 2, 3))
 IDLE_LEG_MS, BUSY_LEG_MS = 1.5, 90.0
-# What operators are promised: an accepted change is in force everywhere by then.
+# The guarantee to operators: an accepted change is in force everywhere by then.
 IN_FORCE_LIMIT_MS = 2_000
-# A commit reaches the other replicas with the leader's next heartbeat.
+# The other replicas learn of a commit with the leader's next heartbeat.
 COMMIT_DELAY_S = 0.25
-# Long after the entry has settled, and well before it looks for another replica.
+# Enough for an entry to settle, but less than the interval between replica lists.
 SETTLED_S = 2.0
 HANGS_AFTER_S = 30.0
 
@@ -75,7 +72,10 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
     def play(self, scenario, leg_ms=IDLE_LEG_MS):
-        """Return what a scenario returns whose entry has settled on an idle link."""
+        """Return the result of a scenario that starts once the entry has settled.
+
+        The entry settles on an idle link; the scenario runs with `leg_ms`.
+        """
         return run_in_virtual_time(self._play, scenario, leg_ms)
 
     async def _play(self, scenario, leg_ms):
@@ -106,7 +106,7 @@
         return result
 
     async def until_version(self, version):
-        """Return once a version is in force; late enough also if it never is."""
+        """Return once a version is in force, or after `HANGS_AFTER_S`."""
         with anyio.move_on_after(HANGS_AFTER_S):
             while self.version_in_force < version:
                 await anyio.sleep(0.01)
@@ -118,7 +118,7 @@
 
     @property
     def followed(self):
-        """The replica that serves the entry now; None while none does."""
+        """The replica that the entry follows, or None."""
         return self.control.replicas.get(self.follower._choice.followed)
 
     def announce(self):
@@ -130,8 +130,8 @@
 
 
 class LostReplicaTests(ControlCase):
-    async def change_as_the_followed_replica_dies(self):
-        """Return how long a change takes whose replica dies as it acknowledges it."""
+    async def measure_change_as_followed_dies(self):
+        """Return how long a change takes if the followed replica dies just after it."""
         acknowledged_at_ms = monotonic_ms()
         lost = self.followed
         lost.has_power = False
@@ -143,9 +143,9 @@
         return monotonic_ms() - acknowledged_at_ms
 
     def test_on_an_idle_link_the_change_is_in_force_in_time(self):
-        took_ms = self.play(self.change_as_the_followed_replica_dies)
+        took_ms = self.play(self.measure_change_as_followed_dies)
         self.assertLessEqual(took_ms, IN_FORCE_LIMIT_MS)
 
     def test_on_a_link_that_callers_keep_busy_the_change_is_in_force_in_time(self):
-        took_ms = self.play(self.change_as_the_followed_replica_dies, BUSY_LEG_MS)
+        took_ms = self.play(self.measure_change_as_followed_dies, BUSY_LEG_MS)
         self.assertLessEqual(took_ms, IN_FORCE_LIMIT_MS)
--- a/tests/entry/fleet/test_platform.py
+++ b/tests/entry/fleet/test_platform.py
@@ -43,11 +43,11 @@
         apply_list(self.board, listed(InstanceState.LEAVING))
         self.assertEqual(self.usable(), ["s1"])
 
-    def test_server_that_the_list_leaves_out_keeps_its_work(self):
+    def test_server_that_is_not_listed_stays_in_use(self):
         apply_list(self.board, listed(InstanceState.LIVE))
         self.assertEqual(self.usable(), ["s0", "s1"])
 
-    def test_list_that_cannot_be_read_takes_nothing_away(self):
+    def test_list_that_cannot_be_read_removes_no_server(self):
         apply_list(self.board, listed(InstanceState.LEAVING))
         apply_list(self.board, None)
         self.assertEqual(self.usable(), ["s0", "s1"])
--- a/tests/entry/fleet/test_replica_choice.py
+++ b/tests/entry/fleet/test_replica_choice.py
@@ -21,7 +21,7 @@
 
 
 class ReplicaChoiceTests(unittest.TestCase):
-    def test_before_any_replica_is_known_those_on_the_seeds_hosts_are_tried(self):
+    def test_while_no_replica_is_known_the_seeds_hosts_are_tried(self):
         found = choice(replicas=[]).candidates(0)
         self.assertEqual(set(found), {HOME[0], AWAY[0]})
 
@@ -39,14 +39,14 @@
         first = {choice(f"e{n}", away).candidates(0)[0] for n in range(20)}
         self.assertGreater(len(first), 1)
 
-    def test_one_that_failed_comes_last_for_a_while(self):
+    def test_a_replica_that_failed_comes_last_for_a_while(self):
         chooser = choice()
         before = chooser.candidates(0)
         chooser.avoid(before[0], 0)
         self.assertEqual(chooser.candidates(AVOID_MS - 1)[-1], before[0])
         self.assertEqual(chooser.candidates(AVOID_MS), before)
 
-    def test_away_there_is_a_better_one_unless_it_failed_a_moment_ago(self):
+    def test_a_replica_of_the_own_hall_is_preferred_unless_it_failed_recently(self):
         chooser = choice()
         self.assertFalse(chooser.has_home_alternative(HOME[0], 0))
         self.assertTrue(chooser.has_home_alternative(AWAY[0], 0))
@@ -55,7 +55,7 @@
         self.assertFalse(chooser.has_home_alternative(AWAY[0], AVOID_MS - 1))
         self.assertTrue(chooser.has_home_alternative(AWAY[0], AVOID_MS))
 
-    def test_there_is_another_to_try_until_all_have_failed(self):
+    def test_there_is_an_alternative_until_all_have_failed(self):
         chooser = choice()
         for address in HOME[1:] + AWAY:
             self.assertTrue(chooser.has_alternative(HOME[0], 0))
--- a/tests/entry/fleet/test_sent_times.py
+++ b/tests/entry/fleet/test_sent_times.py
@@ -1,4 +1,4 @@
-"""Heartbeats that lay in a socket for a while are not taken for new."""
+"""Heartbeats that waited in a socket buffer are not taken for new."""
 
 import unittest
 
@@ -10,30 +10,32 @@
 
 
 class SentTimesTests(unittest.TestCase):
-    def test_heartbeats_that_come_in_time_are_new(self):
+    def test_heartbeats_that_arrive_in_time_are_new(self):
         times = HeartbeatSendTimes()
         for now_ms in range(0, 5_000, HEARTBEAT_MS):
-            self.assertEqual(times.heard(now_ms), now_ms)
+            self.assertEqual(times.record_heartbeat(now_ms), now_ms)
 
-    def test_after_a_pause_the_first_may_be_as_old_as_the_pause(self):
+    def test_the_first_heartbeat_after_a_pause_may_be_as_old_as_the_pause(self):
         times = HeartbeatSendTimes()
-        times.heard(0)
-        self.assertEqual(times.heard(9_000), MAX_STEP_MS)
+        times.record_heartbeat(0)
+        self.assertEqual(times.record_heartbeat(9_000), MAX_STEP_MS)
 
-    def test_those_after_it_catch_up(self):
+    def test_later_heartbeats_catch_up(self):
         times = HeartbeatSendTimes()
-        times.heard(0)
-        heard = [times.heard(9_000 + 500 * number) for number in range(30)]
-        self.assertEqual(heard[-1], 9_000 + 500 * 29)
+        times.record_heartbeat(0)
+        sent = [times.record_heartbeat(9_000 + 500 * number) for number in range(30)]
+        self.assertEqual(sent[-1], 9_000 + 500 * 29)
 
     @given(st.lists(st.integers(500, 900), max_size=30), st.integers(0, 20_000))
-    def test_none_is_taken_for_newer_than_it_can_be(self, pauses_ms, woken_at_ms):
-        """All that was sent before the entry woke is read at that moment."""
+    def test_no_heartbeat_is_taken_for_newer_than_it_can_be(
+        self, pauses_ms, resumed_at_ms
+    ):
+        """All heartbeats sent before the entry resumes are read when it resumes."""
         times, sent_at_ms = HeartbeatSendTimes(), 0
-        times.heard(0)
+        times.record_heartbeat(0)
         for pause_ms in pauses_ms:
             sent_at_ms += pause_ms
-            if sent_at_ms > woken_at_ms:
+            if sent_at_ms > resumed_at_ms:
                 break
-            counted_ms = times.heard(woken_at_ms)
+            counted_ms = times.record_heartbeat(resumed_at_ms)
             self.assertLessEqual(counted_ms, max(2 * sent_at_ms, MAX_STEP_MS))
--- a/tests/entry/fleet/test_standby.py
+++ b/tests/entry/fleet/test_standby.py
@@ -16,16 +16,16 @@
     sheet,
 )
 
-# Several heartbeats, and longer than the own replica is given to tell of a change.
+# Several heartbeats, and longer than the delay before the standby's change is fetched.
 A_WHILE_S = 3.0
 
 
 class StandbyTests(ControlCase):
-    async def fetches_for_calm_changes(self):
-        """Return how often changes were fetched that the own replica tells, too."""
+    async def count_needless_fetches(self):
+        """Return how often changes were fetched that the followed replica sends."""
         for version in range(2, 8):
             followed = self.followed
-            # Whichever replica leads has a change before the others.
+            # The leader has a change before the other replicas.
             self.replicas[version % 2].apply(10 * version, sheet(version))
             await anyio.sleep(COMMIT_DELAY_S)
             self.apply_everywhere(10 * version, sheet(version))
@@ -34,11 +34,11 @@
             await anyio.sleep(A_WHILE_S)
         return self.follower._standby.fetches
 
-    def test_a_change_that_the_own_replica_tells_of_is_not_fetched_as_well(self):
-        self.assertEqual(self.play(self.fetches_for_calm_changes), 0)
-        self.assertEqual(self.play(self.fetches_for_calm_changes, BUSY_LEG_MS), 0)
+    def test_a_change_that_the_followed_replica_sends_is_not_fetched_too(self):
+        self.assertEqual(self.play(self.count_needless_fetches), 0)
+        self.assertEqual(self.play(self.count_needless_fetches, BUSY_LEG_MS), 0)
 
-    async def change_that_the_own_replica_does_not_tell_of(self):
+    async def apply_change_unknown_to_followed(self):
         followed = self.followed
         for replica in self.replicas:
             if replica is not followed:
@@ -46,12 +46,12 @@
         await self.until_version(2)
         return self.version_in_force, self.followed is followed
 
-    def test_a_change_is_fetched_where_the_own_replica_does_not_tell_of_it(self):
-        found = self.play(self.change_that_the_own_replica_does_not_tell_of)
+    def test_a_change_that_the_followed_replica_does_not_send_is_fetched(self):
+        found = self.play(self.apply_change_unknown_to_followed)
         self.assertEqual(found, (2, True))
 
-    async def connections_for_a_loss(self):
-        """Return the next replica's hall, and how many connections that took."""
+    async def count_connections_after_loss(self):
+        """Return the hall of the next replica and how many connections were opened."""
         before = [replica.connections for replica in self.replicas]
         lost = self.followed
         lost.has_power = False
@@ -60,12 +60,12 @@
         after = [replica.connections for replica in self.replicas]
         return self.followed.own.data_hall, sum(after) - sum(before)
 
-    def test_the_replica_that_stands_by_is_followed_over_its_open_connection(self):
-        data_hall, opened = self.play(self.connections_for_a_loss, BUSY_LEG_MS)
+    def test_the_standby_is_followed_over_its_open_connection(self):
+        data_hall, opened = self.play(self.count_connections_after_loss, BUSY_LEG_MS)
         self.assertEqual(data_hall, HALL)
         self.assertEqual(opened, 0)
 
-    async def connections_to_the_next_replica(self):
+    async def count_connections_to_next_replica(self):
         lost = self.followed
         lost.has_power = False
         while self.followed in (lost, None):
@@ -74,20 +74,20 @@
         await anyio.sleep(A_WHILE_S)
         return self.followed.connections - before
 
-    def test_the_replica_that_is_followed_now_does_not_stand_by_as_well(self):
-        self.assertEqual(self.play(self.connections_to_the_next_replica), 0)
+    def test_the_followed_replica_is_not_the_standby_too(self):
+        self.assertEqual(self.play(self.count_connections_to_next_replica), 0)
 
-    async def whether_a_silent_one_stands_by(self):
+    async def is_silent_standby_current(self):
         for replica in self.replicas:
             replica.has_power = replica is self.followed
-        # What was on its way when the power went counts from when it came.
+        # A message in flight when power was lost counts from its arrival.
         await anyio.sleep(KNOWLEDGE_AGE_LIMIT_MS / 1000 + 0.1)
         return self.follower._standby.is_current
 
-    def test_a_standby_that_is_silent_is_not_turned_to(self):
-        self.assertFalse(self.play(self.whether_a_silent_one_stands_by))
+    def test_a_silent_standby_is_not_current(self):
+        self.assertFalse(self.play(self.is_silent_standby_current))
 
-    async def replicas_known_after_an_announcement(self):
+    async def find_known_after_announcement(self):
         hall = DataHall("labasa")
         late = AnnounceReplica(Address("10.0.0.9:7100"), hall, Address("unused:0"))
         self.apply_everywhere(10, late)
@@ -95,20 +95,20 @@
         return {replica.address for replica in self.follower._choice.replicas}
 
     def test_a_replica_that_joins_later_becomes_known(self):
-        known = self.play(self.replicas_known_after_an_announcement)
+        known = self.play(self.find_known_after_announcement)
         self.assertIn("10.0.0.9:7100", known)
 
-    async def whether_replicas_are_known_after_an_empty_list(self):
+    async def find_known_after_empty_list(self):
         for replica in self.replicas:
             replica.machine.replicas.clear()
         await anyio.sleep(3 * A_WHILE_S)
         return {replica.address for replica in self.follower._choice.replicas}
 
-    def test_a_replica_that_knows_of_none_does_not_make_an_entry_forget_them(self):
-        known = self.play(self.whether_replicas_are_known_after_an_empty_list)
+    def test_an_empty_replica_list_is_ignored(self):
+        known = self.play(self.find_known_after_empty_list)
         self.assertEqual(known, {HOME_1, HOME_2, AWAY})
 
-    async def hall_followed_when_the_own_one_comes_back(self):
+    async def find_hall_after_recovery(self):
         for replica in self.replicas[:2]:
             replica.has_power = False
         while self.followed is None or self.followed.address != AWAY:
@@ -118,33 +118,32 @@
         await anyio.sleep(6 * A_WHILE_S)
         return self.followed.own.data_hall
 
-    def test_an_entry_returns_to_its_own_hall_once_a_replica_is_back_there(self):
-        self.assertEqual(
-            self.play(self.hall_followed_when_the_own_one_comes_back), HALL
-        )
+    def test_an_entry_returns_to_its_own_hall_once_a_replica_is_back(self):
+        self.assertEqual(self.play(self.find_hall_after_recovery), HALL)
 
 
 class StartOfTheFleetTests(ControlCase):
-    """An entry follows a replica before that one has announced itself.
+    """An entry follows a replica before that replica has announced itself.
 
-    Its hall was not known then, and loads are told within a hall only: it told none for
-    as long as it followed that replica, and the others chose servers without them.
+    The replica's data hall is then unknown, and loads are sent only within a data hall.
+    Guards against an entry that sends no loads for as long as it follows that replica,
+    so that the other entries choose servers without them.
     """
 
     seeds = "10.0.0.1:80,10.0.0.2:80"
     are_announced = False
 
-    async def loads_told_after_the_announcements(self):
-        told = []
+    async def record_load_reports(self):
+        load_receivers = []
 
         async def send_loads(connection):
-            told.append(connection.peer)
+            load_receivers.append(connection.peer)
 
         self.follower._reports.send_loads = send_loads
         self.announce()
         await anyio.sleep(3 * A_WHILE_S)
-        return told, self.followed.address
+        return load_receivers, self.followed.address
 
-    def test_loads_are_told_once_the_replicas_hall_is_known(self):
-        told, followed = self.play(self.loads_told_after_the_announcements)
-        self.assertEqual(told[-1:], [followed])
+    def test_loads_are_sent_once_the_replicas_hall_is_known(self):
+        load_receivers, followed = self.play(self.record_load_reports)
+        self.assertEqual(load_receivers[-1:], [followed])
--- a/tests/entry/fleet/test_table_follower.py
+++ b/tests/entry/fleet/test_table_follower.py
@@ -36,7 +36,7 @@
         self.follower._apply_delta(older.table.delta_since(0))
         self.assertEqual(self.board.table.revision, 5)
 
-    def test_damaged_table_does_not_open_the_way_back(self):
+    def test_damaged_table_does_not_allow_an_older_one(self):
         machine = machine_with(5)
         self.follower._apply_delta(machine.table.delta_since(0))
         newer = machine_with(7).table.delta_since(5)
--- a/tests/wire/test_packed.py
+++ b/tests/wire/test_packed.py
@@ -1,4 +1,4 @@
-"""Messages that travel as MessagePack within their frames."""
+"""Messages that are encoded as MessagePack within their frames."""
 
 import unittest
 
@@ -38,7 +38,7 @@
     AskAllowances([HeldAllowance("acme", 1, 2, 3, 4)], "10.0.0.1:7100"),
     GrantAllowances([GrantedAllowance("acme", 3, 250)], 4_000, 5_000),
 )
-# No build sent these field by field.
+# No earlier build sent these field by field.
 PACKED_ONLY = (
     RequestRuns([EndedRun(b"d" * 16, "i-1")], [b"e" * 16]),
     RequestRulings(
@@ -48,7 +48,7 @@
 
 
 def field_by_field(message):
-    """Return the frame that a build before packed messages sent."""
+    """Return the frame as builds before packed messages sent it."""
     name = type(message).__name__
     arm = name[0].lower() + name[1:]
     frame = CATALOG._frame_schema.new_message(callId=9, **{arm: _fields(message)})
@@ -65,7 +65,7 @@
 
 
 class PackedMessageTests(unittest.TestCase):
-    def test_what_is_read_is_what_was_sent(self):
+    def test_messages_survive_a_round_trip(self):
         for message in MESSAGES + PACKED_ONLY:
             with self.subTest(type(message).__name__):
                 found = CATALOG.decode(CATALOG.encode(message, 9), peer="test")
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -1,4 +1,4 @@
-"""Framing, the hello and calls, over real loopback connections."""
+"""Framing, the handshake and calls, over real loopback connections."""
 
 import socket
 import unittest
@@ -43,7 +43,7 @@
 
 
 def with_server(use, serve=serve):
-    """Run `use(address)` against a server and return or raise what it gives."""
+    """Run `use(address)` against a server; return its result or raise its error."""
     outcome = {}
 
     async def run():
@@ -78,38 +78,38 @@
 
         self.assertEqual(with_server(use), Done())
 
-    def test_both_sides_give_up_on_a_peer_that_confirms_nothing(self):
-        limits_ms = []
+    def test_both_sides_time_out_on_a_peer_that_acknowledges_nothing(self):
+        timeouts_ms = []
 
-        def note(connection):
+        def record_timeout(connection):
             raw = connection._frames.stream.extra(SocketAttribute.raw_socket)
-            limits_ms.append(
+            timeouts_ms.append(
                 raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
             )
 
-        async def noting(connection, name):
-            note(connection)
+        async def record_and_serve(connection, name):
+            record_timeout(connection)
             await serve(connection, name)
 
         async def use(address):
             connection = await connect(address, TABLE, SERVER)
-            note(connection)
+            record_timeout(connection)
             await connection.send(ReadTable(), 1)
             await connection.receive()
             await connection.aclose()
 
-        with_server(use, noting)
-        self.assertEqual(limits_ms, [UNACKNOWLEDGED_TIMEOUT_MS] * 2)
+        with_server(use, record_and_serve)
+        self.assertEqual(timeouts_ms, [UNACKNOWLEDGED_TIMEOUT_MS] * 2)
 
     def test_a_receiver_cancelled_within_a_frame_loses_nothing(self):
         payload = TABLE.encode(ReadTable(), 7)
         frame = len(payload).to_bytes(LENGTH_BYTES, "big") + payload
-        go_on = anyio.Event()
+        rest_may_be_sent = anyio.Event()
 
         async def send_in_pieces(connection, name):
             stream = connection._frames.stream
             await stream.send(frame[: LENGTH_BYTES + 3])
-            await go_on.wait()
+            await rest_may_be_sent.wait()
             await stream.send(frame[LENGTH_BYTES + 3 :])
             await serve(connection, name)
 
@@ -118,7 +118,7 @@
             while not connection.is_receiving:
                 with anyio.move_on_after(0.05):
                     await connection.receive()
-            go_on.set()
+            rest_may_be_sent.set()
             with anyio.fail_after(TIMEOUT_S):
                 envelope = await connection.receive()
             await connection.aclose()
@@ -160,7 +160,7 @@
         self.assertIsInstance(refusal, Refusal)
         self.assertIs(refusal.code, ErrorCode.AUTHENTICATION_FAILED)
 
-    def test_other_version_is_refused_with_what_is_spoken(self):
+    def test_other_version_is_refused_with_the_supported_ones(self):
         async def use(address):
             newer = Conversation("table", 9, ())
             return await connect(address, newer, SERVER)
@@ -168,7 +168,7 @@
         error = self.assert_code(ErrorCode.VERSION_MISMATCH, use)
         self.assertIn("table 1", error.detail)
 
-    def test_frame_that_cannot_be_read_ends_that_connection_only(self):
+    def test_frame_that_cannot_be_decoded_ends_that_connection_only(self):
         async def use(address):
             connection = await connect(address, TABLE, SERVER)
             await connection._frames.send(b"\xff" * 64)
@@ -178,7 +178,7 @@
 
         self.assertEqual(with_server(use), Done())
 
-    def test_an_error_that_nobody_foresaw_ends_that_connection_only(self):
+    def test_an_unexpected_error_ends_that_connection_only(self):
         async def fail_once(connection, name):
             if name == "odd":
                 raise ValueError("what no message should hold")
