--- a/src/cinderway/entry/fleet/_allowances.py
+++ b/src/cinderway/entry/fleet/_allowances.py
@@ -86,7 +86,7 @@
             lease.give_back()
 
     def start_anew(self) -> None:
-        """Switch to another replica, which is told at once of recently used tokens."""
+        """Switch to another replica, which gets a report of recent use at once."""
         now_ms = monotonic_ms()
         for lease in self._leases.values():
             lease.start_anew(now_ms)
--- a/src/cinderway/entry/fleet/_catalog_reports.py
+++ b/src/cinderway/entry/fleet/_catalog_reports.py
@@ -73,16 +73,16 @@
         """Send the data hall the loads of servers whenever they change."""
         while True:
             await self._state.loads_changed.wait()
-            told = self._state.take_loads(monotonic_ms())
-            await _send_or_close(connection, told, "loads of servers")
+            loads = self._state.take_loads(monotonic_ms())
+            await _send_or_close(connection, loads, "loads of servers")
             await anyio.sleep(SEND_PAUSE_S)
 
     async def send_turned_away(self, connection: Connection) -> None:
         """Send the data hall at once the servers that reject requests."""
         while True:
             await self._state.turned_away.wait()
-            told = self._state.take_turned_away(monotonic_ms())
-            await _send_or_close(connection, told, "servers that reject requests")
+            suspects = self._state.take_turned_away(monotonic_ms())
+            await _send_or_close(connection, suspects, "servers that reject requests")
             await anyio.sleep(SEND_PAUSE_S)
 
     async def send_runs(self, connection: Connection) -> None:
@@ -100,9 +100,9 @@
         watch = self._state.board.limits
         while True:
             await watch.has_news.wait()
-            told = watch.take_news(monotonic_ms())
+            limits = watch.take_news(monotonic_ms())
             await _send_or_close(
-                connection, told, "limits of servers", partial(watch.put_back, told)
+                connection, limits, "limits of servers", partial(watch.put_back, limits)
             )
             await anyio.sleep(SEND_PAUSE_S)
 
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -56,8 +56,8 @@
 # The send times of this many reports are kept; sheets that answer an older report are
 # ignored.
 MAX_PENDING_REPORTS = 64
-# The name of the single group of entries that divide servers' rate limits among them: in
-# table mode all entries know each other.
+# The name of the single group of entries that divide servers' rate limits among them:
+# in table mode all entries know each other.
 FLEET_GROUP = "fleet"
 
 
@@ -77,7 +77,7 @@
 
 @dataclass
 class Reporter:
-    """Reports evidence; applies verdicts to the board's ejections, shares and probes."""
+    """Reports evidence and applies verdicts: ejections, traffic shares and probes."""
 
     board: Blackboard
     evidence: EvidenceLog
