--- a/src/cinderway/entry/fleet/_replica_choice.py
+++ b/src/cinderway/entry/fleet/_replica_choice.py
@@ -6,7 +6,7 @@
 from cinderway.catalog import ReplicaAddress
 from cinderway.routing import rank_of
 
-# How long a replica that failed is ordered last.
+# How long a replica that failed stays at the end of the order.
 AVOID_MS = 5_000
 # Shorter for a replica that has no leader: an election takes at most 1.5 s.
 LEADERLESS_AVOID_MS = 2_000
@@ -55,7 +55,7 @@
         return [a for a in self.candidates(now_ms) if a != self.followed]
 
     def avoid(self, address: Address, now_ms: int, for_ms: int = AVOID_MS) -> None:
-        """Order a replica that failed last for a while."""
+        """Move a failed replica to the end of the order for a while."""
         self._avoid_until_ms[address] = now_ms + for_ms
 
     def has_alternative(self, address: Address, now_ms: int) -> bool:
