--- a/src/cinderway/judgement/__init__.py
+++ b/src/cinderway/judgement/__init__.py
@@ -1,4 +1,4 @@
-"""Which backend servers are failing, judged from what all entries see together."""
+"""Detection and ejection of failing backend servers from all entries' evidence."""
 
 from cinderway.judgement._assessor import Assessor, GroupView, ReporterState
 from cinderway.judgement._assignment import (
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -1,7 +1,8 @@
-"""An assessor: judges the services of the groups that entries report to it.
+"""The assessor: turns entries' evidence reports into verdicts on backend servers.
 
-Pure: reports and time in, sheets out. It holds no state that another assessor needs;
-one that restarts is as good as the others within seconds.
+It does no I/O: reports and the time are passed in, verdict sheets come out. No other
+assessor needs its state; after a restart it has collected as much evidence as the
+others within seconds.
 """
 
 from dataclasses import dataclass, field
@@ -20,15 +21,15 @@
 from cinderway.judgement._record import ServerRecord, is_out
 from cinderway.table import ServiceRow, Table
 
-# Evidence older than this is dropped: the server may be another one by now.
+# Older reports are dropped: another server may have the address by now.
 REPORT_VALID_MS = 3_000
 LEASE_MS = 2_000
-SHEETS_REMEMBERED = 64
+MAX_TRACKED_SHEETS = 64
 
 
 @dataclass
 class ReporterState:
-    """One entry's reports to this assessor, for one group."""
+    """State of one entry's exchange with this assessor about one group."""
 
     last_sequence: int = 0
     sheet_sequence: int = 0
@@ -36,17 +37,17 @@
     first_heard_at_ms: int = 0
 
     def note_sheet(self, sequence: int, now_ms: int) -> None:
-        """Note that a sheet goes out."""
+        """Record that a sheet with this sequence number is sent."""
         self.sheet_sequence = sequence
         self.sheet_sent_at_ms[sequence] = now_ms
-        if len(self.sheet_sent_at_ms) > SHEETS_REMEMBERED:
+        if len(self.sheet_sent_at_ms) > MAX_TRACKED_SHEETS:
             del self.sheet_sent_at_ms[min(self.sheet_sent_at_ms)]
 
-    def takes(self, report: EvidenceReport, now_ms: int) -> bool:
-        """Whether a report is newer than the last one, and not too late.
+    def accept(self, report: EvidenceReport, now_ms: int) -> bool:
+        """Accept a report and return True if it is newer than the last and not too old.
 
-        It names the newest sheet that its entry had: the report was made after that
-        sheet was sent, so its age is bounded without comparing clocks.
+        A report names the newest sheet that its entry had received. It was made after
+        that sheet was sent, so its age is bounded without a comparison of clocks.
         """
         if report.sequence <= self.last_sequence:
             return False
@@ -58,7 +59,7 @@
 
 
 class Assessor:
-    """Judges all groups that reports come in for."""
+    """Assesses the services of all groups for which it receives reports."""
 
     def __init__(self, name: EntryName):
         self.name = name
@@ -66,8 +67,8 @@
         self._judges: dict[ServiceName, ServiceJudge] = {}
         self._reporters: dict[int, dict[EntryName, Reporter]] = {}
 
-    def judge_of(self, service: ServiceName) -> ServiceJudge:
-        """Return the judge of a service."""
+    def get_or_create_judge(self, service: ServiceName) -> ServiceJudge:
+        """Return the judge of a service, which is created on first use."""
         judge = self._judges.get(service)
         if judge is None:
             reporters = self._reporters.setdefault(group_of(service), {})
@@ -81,9 +82,9 @@
         table: Table,
         now_ms: int,
     ) -> None:
-        """Take a report, unless it is stale or late."""
+        """Add a report's evidence, unless the report is out of order or too old."""
         reporters = self._reporters.setdefault(report.group, {})
-        if not reporter.takes(report, now_ms):
+        if not reporter.accept(report, now_ms):
             self.dropped_reports += 1
             return
         reporters[report.entry] = Reporter(report.data_hall, now_ms)
@@ -91,32 +92,32 @@
             service = table.service(evidence.service)
             if service is None or evidence.server not in table.servers_of(service.name):
                 continue
-            self.judge_of(service.name).observe(
+            self.get_or_create_judge(service.name).observe(
                 report.entry, report.data_hall, evidence, service, now_ms
             )
 
     def decide(self, table: Table, now_ms: int) -> dict[int, "GroupView"]:
-        """Decide on all servers; return what is to be said of each group."""
+        """Update the standings of all servers; return the verdicts on each group."""
         views = {group: GroupView([], []) for group in self._reporters}
         for service in table.services():
             view = views.get(group_of(service.name))
             if view is None:
                 continue
-            judge = self.judge_of(service.name)
+            judge = self.get_or_create_judge(service.name)
             servers = table.servers_of(service.name)
             judge.decide(service, servers.keys(), now_ms)
             probes_per_s = judge.background_probes_per_s(service, now_ms)
             view.services.append(
                 ServiceNormal(service.name, judge.normal_ms, round(probes_per_s, 1))
             )
-            view.servers += self._verdicts(judge, service, table, now_ms)
+            view.servers += self._build_verdicts(judge, service, table, now_ms)
         return views
 
-    def _verdicts(
+    def _build_verdicts(
         self, judge: ServiceJudge, service: ServiceRow, table: Table, now_ms: int
     ) -> list[ServerVerdict]:
         records = judge.records()
-        permitted = self._permitted(records, service, table)
+        permitted = self._permitted_ejections(records, service, table)
         verdicts = []
         for record in records:
             probes_per_s = judge.probes_per_s(record, service)
@@ -142,7 +143,7 @@
             )
         return verdicts
 
-    def _permitted(
+    def _permitted_ejections(
         self, records: list[ServerRecord], service: ServiceRow, table: Table
     ) -> frozenset[ServerName]:
         servers = table.servers_of(service.name)
@@ -163,7 +164,7 @@
 
 @dataclass
 class GroupView:
-    """What an assessor says of a group."""
+    """An assessor's current verdicts on the services and servers of a group."""
 
     services: list[ServiceNormal]
     servers: list[ServerVerdict]
@@ -171,7 +172,7 @@
     def sheet(
         self, assessor: EntryName, group: int, sequence: int, report_sequence: int
     ) -> VerdictSheet:
-        """Return the message for one reporter."""
+        """Build the verdict sheet for one reporter."""
         return VerdictSheet(
             assessor, group, sequence, report_sequence, self.services, self.servers
         )
--- a/src/cinderway/judgement/_assignment.py
+++ b/src/cinderway/judgement/_assignment.py
@@ -1,9 +1,10 @@
-"""Who assesses which services: chosen by hashing, so that nobody has to agree.
+"""Assignment of services to assessors by hashing, which needs no coordination.
 
-Services are hashed into groups, and each group has three assessors among the live
-entries, in different data halls where it can. Entries whose views of the fleet
-differ for a while report to different assessors; a verdict needs two of the three
-that an entry itself has chosen, so this costs evidence and never safety.
+Services are hashed into groups. Each group has three assessors among the live entries,
+in different data halls if possible. While entries have different views of the fleet,
+they report to different assessors. An entry acts on a verdict only if two of the three
+assessors that it has chosen itself agree, so differing views reduce the evidence that
+an assessor receives but are never unsafe.
 """
 
 from functools import lru_cache
@@ -26,7 +27,10 @@
 def assessors_of(
     group: int, live: list[EntryReport], avoid: frozenset[EntryName] = frozenset()
 ) -> list[EntryReport]:
-    """Return a group's assessors, best ranked first; `avoid` are unreachable ones."""
+    """Return a group's assessors in order of rank.
+
+    Entries in `avoid` are not chosen; callers pass those that are unreachable.
+    """
     ranked = sorted(
         (report for report in live if report.name not in avoid),
         key=lambda report: _rank(group, report.name),
--- a/src/cinderway/judgement/_conversation.py
+++ b/src/cinderway/judgement/_conversation.py
@@ -1,4 +1,4 @@
-"""What entries report to assessors, and the verdicts that come back."""
+"""Messages between entries and assessors: evidence reports and verdict sheets."""
 
 from enum import Enum
 
@@ -10,10 +10,10 @@
 
 
 class Standing(Enum):
-    """What an assessor thinks of a backend server.
+    """An assessor's classification of a backend server.
 
-    EJECTED and PROBING servers get no callers' work; a server on TRIAL gets a small
-    share of it, a RECOVERING one a growing share.
+    EJECTED and PROBING servers get no callers' requests. A TRIAL server gets a small
+    share of its weight, a RECOVERING one a growing share.
     """
 
     HEALTHY = "healthy"
@@ -38,20 +38,20 @@
     time_count: int = 0
     probes: int = 0
     is_draining: bool = False
-    # From each send to the answer's head, where an answer came that was no error.
+    # Time from each send to the answer's head, for answers that are not errors.
     answer_times_ms: list[int] = []
     late_answers: int = 0
 
     @property
     def bad(self) -> int:
-        """Bad observations of all kinds."""
+        """Number of bad observations of all kinds."""
         return self.error + self.unreachable + self.cut + self.slow + self.overdue
 
     def main_alarm(self) -> Bad | None:
-        """What makes the server suspect, the most telling kind first; None if nothing.
+        """The strongest kind of alarm in this evidence, or None if there is none.
 
-        A server that failed a request is there; one that was only out of reach may not
-        be.
+        ERROR and CUT come before UNREACHABLE: a server that failed a request exists,
+        whereas one that was only unreachable may be gone.
         """
         if self.error or self.cut:
             return Bad.ERROR
@@ -65,10 +65,10 @@
 
 
 class EvidenceReport(Message, frozen=True):
-    """All that an entry saw of a group's services since its last report.
+    """An entry's observations of a group's services since its last report.
 
-    `sheet_sequence` is the newest sheet that the entry has from this assessor; it
-    tells the assessor how old the report can be without comparing clocks.
+    `sheet_sequence` is the newest sheet that the entry has received from this assessor.
+    It bounds the age of the report without a comparison of clocks.
     """
 
     entry: EntryName
@@ -80,10 +80,10 @@
 
 
 class ServiceNormal(Message, frozen=True):
-    """How long the service's healthy servers normally take.
+    """Normal answer time of a service's healthy servers, and their probe rate.
 
-    `probes_per_s` is how often each of them should be probed although nothing speaks
-    against it, because callers' requests alone would show a failure too late.
+    `probes_per_s` is how often each server that is not suspect should be probed because
+    callers' requests alone would reveal a failure too late.
     """
 
     service: ServiceName
@@ -92,10 +92,11 @@
 
 
 class ServerVerdict(Message, frozen=True):
-    """What an assessor thinks of one server; healthy ones are left out of sheets.
+    """An assessor's verdict on one server.
 
-    Holds for entries in `halls`, or everywhere if that is empty, for `lease_ms` from
-    when the entry sent the report that the sheet answers.
+    It applies to entries in `halls`, or in all halls if that is empty, and expires
+    `lease_ms` after the entry sent the report that the sheet answers. Sheets omit
+    healthy servers that are neither to be probed as suspects nor draining.
     """
 
     service: ServiceName
@@ -112,7 +113,7 @@
 
 
 class VerdictSheet(Message, frozen=True):
-    """Everything that an assessor has to say of a group, replacing what it said."""
+    """All of an assessor's verdicts on a group; replaces its previous sheet."""
 
     assessor: EntryName
     group: int
@@ -132,7 +133,7 @@
 def evidence_from(
     service: ServiceName, server: ServerName, counts: ServerCounts
 ) -> ServerEvidence:
-    """Return the report's form of an entry's counts."""
+    """Return an entry's counts of one server as a part of an evidence report."""
     by_kind = {kind.value: number for kind, number in counts.bad.items()}
     return ServerEvidence(
         service,
--- a/src/cinderway/judgement/_floor.py
+++ b/src/cinderway/judgement/_floor.py
@@ -1,4 +1,4 @@
-"""The floor: ejection never leaves a service less healthy capacity than this."""
+"""The floor: the capacity of a service that ejections must leave in use."""
 
 import math
 from collections.abc import Iterable
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """A backend server as the floor sees it.
+    """The properties of a backend server that the floor depends on.
 
-    `is_available` is false for one that is draining, cold, or without weight: it
-    does not count as capacity, whoever took it away. `is_condemned` says that it
-    should be ejected, `score` how bad it is.
+    `is_available` is false for a server that is draining, cold or without weight; it
+    does not count as capacity, whatever the cause. `is_condemned` is true for a server
+    that should be ejected; a higher `score` means stronger evidence against it.
     """
 
     server: ServerName
@@ -27,7 +27,7 @@
 
 
 def floor_slots_of(service: ServiceRow, table_slots: int) -> int:
-    """Return the service's floor in slots, from both of its cells."""
+    """Return the floor in slots: the larger of the service's two floor settings."""
     share_slots = math.ceil(table_slots * service.floor_percent / FULL_PERCENT)
     return max(service.floor_slots, share_slots)
 
@@ -37,10 +37,10 @@
 ) -> frozenset[ServerName]:
     """Return the condemned servers that may be ejected.
 
-    The slots of available servers that are not ejected stay at `floor_slots` or
-    more; if they are fewer even without any ejection, nothing is ejected. The least
-    bad are taken back first. Decided anew from the present state each time, so a
-    server goes back at once when capacity falls for another reason.
+    The available servers that are not ejected keep at least `floor_slots` slots. If
+    they have fewer even without any ejection, nothing is ejected. Servers with the
+    lowest score are reinstated first. The result depends on the current state only, so
+    a server is reinstated at once when capacity falls for another reason.
     """
     servers = list(servers)
     condemned = sorted(
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -1,13 +1,17 @@
-"""Judge the backend servers of one service from all entries' observations.
-
-Pure: reports, table rows and time come in, standings come out. It must tell apart
-
-    one sick server                 its window crosses while its peers do well
-    a server cut off from a hall    the entries of another hall see it well
-    a sick entry                    sees servers fail that all others see well
-    a service in trouble as a whole the peers do badly too: nobody is ejected
-    a flapping server               each ejection lasts twice as long as the last
-    a server that starts cold       RECOVERING, with a growing share
+"""Failure detection for the backend servers of one service.
+
+It uses the observations of all entries and does no I/O: reports, table rows and the
+time are passed in, standings come out. It distinguishes these cases:
+
+    one failing server              its score exceeds the threshold, its peers are
+                                    healthy
+    a server partitioned from a     entries in the other halls get good answers from it
+        data hall
+    a faulty entry                  sees failures of servers that all other entries
+                                    find healthy
+    a service failing as a whole    the peers fail too: nothing is ejected
+    a flapping server               each ejection lasts twice as long as the one before
+    a cold server                   is RECOVERING, with a growing share of its weight
 """
 
 import statistics
@@ -15,81 +19,82 @@
 from dataclasses import dataclass
 
 from cinderway._ids import DataHall, EntryName, ServerName
-from cinderway.judgement._comparison import better_half_is_well, contradicts
+from cinderway.judgement._comparison import has_contradiction, is_better_half_healthy
 from cinderway.judgement._conversation import ServerEvidence, Standing
-from cinderway.judgement._record import Observed, ServerRecord, Tally, is_out
+from cinderway.judgement._record import ObservationBatch, ServerRecord, Tally, is_out
 from cinderway.judgement._sequential import (
     THRESHOLDS,
     Window,
+    compute_weights,
     reporter_cap,
-    weights_for,
 )
 from cinderway.table import ServiceRow
 
 REPORTER_ACTIVE_MS = 3_000
-# A server that was restarted at its address is not taken for leaving any longer.
+# Expiry of a drain signal, after which a server that was restarted at the same address
+# counts as draining no longer.
 DRAIN_VALID_MS = 60_000
-# Peers that fail more often than this are in trouble themselves.
-PEERS_WELL_RATE = 0.2
-PEERS_TO_SEE = 3
-# With peers in trouble too, a crossing must last this long to count, and is dropped
-# after the second time.
-WIDE_TROUBLE_WAIT_MS = 1_500
-WIDE_TROUBLE_GIVE_UP_MS = 5_000
-# A hall that is cut off from a server sees nearly everything fail there.
-CUT_RATE = 0.75
-OTHERS_NEEDED = 3
-OTHERS_WAIT_MS = 1_000
-OTHERS_GOOD = 3
-SICK_REPORTER_RATE = 0.5
-SICK_REPORTER_SERVERS = 2
-SICK_LOOKBACK_MS = 1_000
-
-PROBE_AT_SHARE = 0.25
+# Peers that fail more often than this are not healthy either.
+MAX_HEALTHY_PEER_BAD_SHARE = 0.2
+MIN_OBSERVED_PEERS = 3
+# While the peers fail too, a score above the threshold leads to an ejection only after
+# the first time, and its window is reset after the second.
+SERVICE_WIDE_FAILURE_WAIT_MS = 1_500
+SERVICE_WIDE_FAILURE_GIVE_UP_MS = 5_000
+# In a hall that is partitioned from a server nearly all requests to it fail.
+PARTITION_BAD_SHARE = 0.75
+MIN_OTHER_HALL_OBSERVATIONS = 3
+OTHER_HALLS_WAIT_MS = 1_000
+MIN_GOOD_FROM_OTHER_REPORTERS = 3
+FAULTY_REPORTER_BAD_SHARE = 0.5
+FAULTY_REPORTER_MIN_SERVERS = 2
+FAULTY_REPORTER_LOOKBACK_MS = 1_000
+
+PROBE_THRESHOLD_SHARE = 0.25
 SUSPECT_PROBES_PER_S = 40.0
-RETURN_PROBES_PER_S = 10.0
+READMISSION_PROBES_PER_S = 10.0
 PROBES_TO_TRIAL = 3
-GOOD_TO_RECOVER = 5
-TRIAL_LIMIT_MS = 10_000
+GOOD_OBSERVATIONS_TO_RECOVER = 5
+MAX_TRIAL_MS = 10_000
 TRIAL_SHARE = 0.1
 RELAPSE_THRESHOLD_SHARE = 0.6
-# Where one hall has condemned a server, another needs this share of the evidence.
+# Once a server is ejected for one hall, another hall needs this share of the threshold.
 WIDEN_THRESHOLD_SHARE = 0.5
 WIDEN_REPORTERS = 2
 MIN_TIME_COUNT = 3
-# Times of single requests scatter by half of their mean or more: the mean of four is
-# twice the usual one by chance only once in some hundred.
-SLOW_PACE_COUNT = 4
+# The standard deviation of single answer times is half of their mean or more. The mean
+# of four is twice the usual one by chance only about once in a hundred times.
+MIN_RECENT_TIME_COUNT = 4
 SLOW_PACE_FACTOR = 2.0
-# Of its weight, for a server that takes twice the usual time, and four times.
-SLOW_SHARE = 0.5
-VERY_SLOW_SHARE = 0.25
-CALLERS_FOR_A_PROBE = 4
+# Shares of the weight of a server that takes twice and four times the usual time.
+SLOW_WEIGHT_SHARE = 0.5
+VERY_SLOW_WEIGHT_SHARE = 0.25
+CALLER_REQUESTS_PER_PROBE = 4
 
 
 @dataclass
 class Reporter:
-    """An entry that reports, and when it did last."""
+    """The data hall of a reporting entry and the time of its last report."""
 
     hall: DataHall
     heard_at_ms: int
 
 
 class ServiceJudge:
-    """Judgement of one service."""
+    """Detects failing servers of one service and decides their standings."""
 
     def __init__(self, reporters: dict[EntryName, Reporter] | None = None):
         self._records: dict[ServerName, ServerRecord] = {}
-        # Shared by all services of a group: a report is heard once for all of them.
+        # Shared by the judges of a group's services, since a report covers all of them.
         self._reporters = {} if reporters is None else reporters
         self.normal_ms = 0.0
 
     def records(self) -> list[ServerRecord]:
-        """All servers by name."""
+        """Return the records of all servers, sorted by name."""
         return sorted(self._records.values(), key=lambda record: record.name)
 
     def hear(self, reporter: EntryName, hall: DataHall, now_ms: int) -> None:
-        """Note that a reporter is there, whether or not it has seen anything."""
+        """Record that a reporter is active, even if it has no observations."""
         self._reporters[reporter] = Reporter(hall, now_ms)
 
     def observe(
@@ -100,22 +105,22 @@
         service: ServiceRow,
         now_ms: int,
     ) -> None:
-        """Take one reporter's observations of one server."""
+        """Record one reporter's observations of one server."""
         record = self._records.get(evidence.server)
         if record is None:
             record = self._records[evidence.server] = ServerRecord(evidence.server)
         if evidence.is_draining:
             record.draining_until_ms = now_ms + DRAIN_VALID_MS
         good, bad = evidence.good, evidence.bad
-        record.note(Observed(now_ms, reporter, hall, good, bad))
-        record.callers.add(max(good + bad - evidence.probes, 0), 0, now_ms)
+        record.record_batch(ObservationBatch(now_ms, reporter, hall, good, bad))
+        record.caller_observations.add(max(good + bad - evidence.probes, 0), 0, now_ms)
         record.time.add(evidence.time_sum_ms, evidence.time_count, now_ms)
-        record.pace.add(evidence.time_sum_ms, evidence.time_count, now_ms)
+        record.recent_time.add(evidence.time_sum_ms, evidence.time_count, now_ms)
         if bad:
             record.reason = evidence.main_reason().value
         if is_out(record.standing) and (not record.halls or hall in record.halls):
             return
-        weights = weights_for(self._peer_rate())
+        weights = compute_weights(self._peer_failure_rate())
         active_count = len(self._active_reporters(now_ms))
         cap = reporter_cap(THRESHOLDS[service.bias], active_count)
         for key in (None, hall):
@@ -124,39 +129,43 @@
     def decide(
         self, service: ServiceRow, known: Collection[ServerName], now_ms: int
     ) -> None:
-        """Bring every standing up to date; servers not in the table are dropped."""
+        """Update every server's standing; drop servers that are not in the table."""
         for gone in self._records.keys() - set(known):
             del self._records[gone]
-        self._update_normal()
+        self._update_normal_time()
         for record in self._records.values():
-            self._decide_one(record, service, now_ms)
+            self._update_standing(record, service, now_ms)
 
     def probes_per_s(self, record: ServerRecord, service: ServiceRow) -> float:
-        """How often the fleet should try a server out with work of its own."""
+        """Rate at which all entries together should probe a server themselves."""
         if not service.probe_path:
             return 0.0
         threshold = THRESHOLDS[service.bias]
-        is_suspect = record.suspicion >= threshold * PROBE_AT_SHARE
+        is_suspect = record.suspicion >= threshold * PROBE_THRESHOLD_SHARE
         if record.standing is Standing.EJECTED and not (record.halls and is_suspect):
             return 0.0
         if record.standing in (Standing.PROBING, Standing.TRIAL):
-            return RETURN_PROBES_PER_S
+            return READMISSION_PROBES_PER_S
         return SUSPECT_PROBES_PER_S if is_suspect else 0.0
 
     def background_probes_per_s(self, service: ServiceRow, now_ms: int) -> float:
-        """How often each server is to be probed although nothing speaks against it.
+        """Rate at which every server should be probed, including those not suspect.
 
-        Callers' requests come at random, probes at regular intervals, so one probe
-        shortens the longest gap as much as several callers' requests do.
+        It falls as callers' requests rise. Callers' requests come at random, probes at
+        regular intervals, so one probe shortens the longest gap between observations as
+        much as several callers' requests do.
         """
         if not service.probe_path:
             return 0.0
-        rates = [record.callers_per_s(now_ms) for record in self._records.values()]
+        rates = [
+            record.caller_observations_per_s(now_ms)
+            for record in self._records.values()
+        ]
         seen_per_s = statistics.mean(rates) if rates else 0.0
-        return max(service.probes_per_s - seen_per_s / CALLERS_FOR_A_PROBE, 0.0)
+        return max(service.probes_per_s - seen_per_s / CALLER_REQUESTS_PER_PROBE, 0.0)
 
     def share(self, record: ServerRecord, service: ServiceRow, now_ms: int) -> float:
-        """The share of its weight that a server should get."""
+        """Share of a server's weight that applies at its standing."""
         match record.standing:
             case Standing.HEALTHY:
                 return 1.0
@@ -170,55 +179,57 @@
                 return 0.0
 
     def pace_share(self, record: ServerRecord, now_ms: int) -> float:
-        """The share of its weight for a server that is well but slow at the moment.
+        """Share of the weight of a server that is healthy but slow at the moment.
 
-        Work that takes a server twice as long fills its slots twice as much. In two
-        steps, so that entries are told anew only when it matters.
+        Requests that take twice as long occupy a server's slots for twice as long. The
+        share has two steps, so that entries get an update only if it matters.
         """
-        record.pace.add(0, 0, now_ms)
-        if record.pace.second < SLOW_PACE_COUNT or not self.normal_ms:
+        record.recent_time.add(0, 0, now_ms)
+        if record.recent_time.second < MIN_RECENT_TIME_COUNT or not self.normal_ms:
             return 1.0
-        factor = record.pace.first / record.pace.second / self.normal_ms
+        factor = record.recent_time.first / record.recent_time.second / self.normal_ms
         if factor < SLOW_PACE_FACTOR:
             return 1.0
         is_very_slow = factor >= SLOW_PACE_FACTOR**2
-        return VERY_SLOW_SHARE if is_very_slow else SLOW_SHARE
+        return VERY_SLOW_WEIGHT_SHARE if is_very_slow else SLOW_WEIGHT_SHARE
 
-    # Standings.
+    # Transitions between standings.
 
-    def _decide_one(
+    def _update_standing(
         self, record: ServerRecord, service: ServiceRow, now_ms: int
     ) -> None:
         if record.halls and record.standing is not Standing.HEALTHY:
-            self._widen(record, service, now_ms)
+            self._widen_ejection(record, service, now_ms)
         match record.standing:
             case Standing.EJECTED if now_ms >= record.until_ms:
                 standing = Standing.PROBING if service.probe_path else Standing.TRIAL
-                record.move_to(standing, now_ms)
-            case Standing.PROBING if record.bad_since:
+                record.set_standing(standing, now_ms)
+            case Standing.PROBING if record.bad_since_change:
                 record.eject(record.halls, record.score, now_ms)
-            case Standing.PROBING if record.good_since >= PROBES_TO_TRIAL:
-                record.move_to(Standing.TRIAL, now_ms)
+            case Standing.PROBING if record.good_since_change >= PROBES_TO_TRIAL:
+                record.set_standing(Standing.TRIAL, now_ms)
             case Standing.TRIAL:
-                self._decide_trial(record, service, now_ms)
+                self._update_trial(record, service, now_ms)
             case Standing.RECOVERING:
                 if now_ms - record.standing_since_ms >= service.slow_start_ms:
-                    record.move_to(Standing.HEALTHY, now_ms)
-                    record.well_since_ms = now_ms
+                    record.set_standing(Standing.HEALTHY, now_ms)
+                    record.healthy_since_ms = now_ms
                 else:
                     self._eject_if_failing(record, service, now_ms)
             case Standing.HEALTHY:
                 self._eject_if_failing(record, service, now_ms)
 
-    def _decide_trial(
+    def _update_trial(
         self, record: ServerRecord, service: ServiceRow, now_ms: int
     ) -> None:
-        if record.bad_since > max(1, record.good_since // GOOD_TO_RECOVER):
+        if record.bad_since_change > max(
+            1, record.good_since_change // GOOD_OBSERVATIONS_TO_RECOVER
+        ):
             record.eject(record.halls, record.score, now_ms)
             return
-        is_over = now_ms - record.standing_since_ms >= TRIAL_LIMIT_MS
-        if record.good_since >= GOOD_TO_RECOVER or is_over:
-            record.move_to(Standing.RECOVERING, now_ms)
+        is_over = now_ms - record.standing_since_ms >= MAX_TRIAL_MS
+        if record.good_since_change >= GOOD_OBSERVATIONS_TO_RECOVER or is_over:
+            record.set_standing(Standing.RECOVERING, now_ms)
 
     def _eject_if_failing(
         self, record: ServerRecord, service: ServiceRow, now_ms: int
@@ -229,16 +240,20 @@
         for hall, window in list(record.windows.items()):
             if window.score < threshold:
                 continue
-            self._drop_sick_reporters(window, now_ms)
+            self._drop_faulty_reporters(window, now_ms)
             if window.score < threshold:
                 continue
-            scope = self._scope(record, hall, window.began_at_ms, now_ms)
-            if scope is not None and self._peers_do_well(record, scope, window, now_ms):
+            scope = self._ejection_scope(record, hall, window.began_at_ms, now_ms)
+            if scope is not None and self._has_healthy_peers(
+                record, scope, window, now_ms
+            ):
                 record.eject(scope, window.score, now_ms)
                 return
 
-    def _widen(self, record: ServerRecord, service: ServiceRow, now_ms: int) -> None:
-        """Eject for a further hall too, once its own entries see the server fail."""
+    def _widen_ejection(
+        self, record: ServerRecord, service: ServiceRow, now_ms: int
+    ) -> None:
+        """Extend an ejection to another hall whose own entries see the server fail."""
         for hall, window in list(record.windows.items()):
             if hall is None or hall in record.halls:
                 continue
@@ -255,113 +270,122 @@
         now_ms: int,
     ) -> bool:
         threshold = THRESHOLDS[service.bias] * WIDEN_THRESHOLD_SHARE
-        # The reporters' cap is for the whole threshold: here two must be asked for.
+        # The cap per reporter is relative to the full threshold and could exceed this
+        # lower one, so the minimum number of reporters is checked explicitly.
         if window.score < threshold or len(window.bad) < WIDEN_REPORTERS:
             return False
-        self._drop_sick_reporters(window, now_ms)
+        self._drop_faulty_reporters(window, now_ms)
         if window.score < threshold or len(window.bad) < WIDEN_REPORTERS:
             return False
-        return self._peers_do_well(record, frozenset({hall}), window, now_ms)
+        return self._has_healthy_peers(record, frozenset({hall}), window, now_ms)
 
-    # Telling failures apart.
+    # Distinguishing the causes of failures.
 
-    def _scope(
+    def _ejection_scope(
         self, record: ServerRecord, hall: DataHall | None, since_ms: int, now_ms: int
     ) -> frozenset[DataHall] | None:
-        """The halls to eject for (none listed: all), or None to wait or do nothing.
+        """Return the halls to eject for, empty for all halls, or None not to eject yet.
 
-        Compared are the hall that sees it fail most and all others together. While
-        the others have hardly seen it yet, it is waited for them a little: they are
-        asked to probe a suspect.
+        Compares the hall with the most failures with all others together. While the
+        others have few observations, the decision is delayed by up to
+        `OTHER_HALLS_WAIT_MS`: their entries are asked to probe a suspect server.
         """
         tallies = {
-            seen: record.tally(since_ms, halls=frozenset({seen}))
-            for seen in sorted(record.halls_seen(since_ms))
+            seen: record.count_observations(since_ms, halls=frozenset({seen}))
+            for seen in sorted(record.observing_halls(since_ms))
         }
         failing = max(tallies, key=lambda seen: tallies[seen].bad)
-        if tallies[failing].bad_share < CUT_RATE:
+        if tallies[failing].bad_share < PARTITION_BAD_SHARE:
             return frozenset()
         others = sum((tallies[seen] for seen in tallies if seen != failing), Tally())
-        if others.count < OTHERS_NEEDED and now_ms - since_ms < OTHERS_WAIT_MS:
+        if (
+            others.count < MIN_OTHER_HALL_OBSERVATIONS
+            and now_ms - since_ms < OTHER_HALLS_WAIT_MS
+        ):
             return None if self._has_other_halls(failing, now_ms) else frozenset()
-        if not contradicts(others, tallies[failing]):
+        if not has_contradiction(others, tallies[failing]):
             return frozenset()
-        cut_off = {seen for seen in tallies if tallies[seen].bad_share >= CUT_RATE}
-        return frozenset(cut_off) if hall is None or hall in cut_off else None
+        partitioned = {
+            seen for seen in tallies if tallies[seen].bad_share >= PARTITION_BAD_SHARE
+        }
+        return frozenset(partitioned) if hall is None or hall in partitioned else None
 
     def _has_other_halls(self, hall: DataHall, now_ms: int) -> bool:
         return any(r.hall != hall for r in self._active_reporters(now_ms))
 
-    def _peers_do_well(
+    def _has_healthy_peers(
         self,
         record: ServerRecord,
         scope: frozenset[DataHall],
         window: Window,
         now_ms: int,
     ) -> bool:
-        """Whether the failure is this server's own and not the whole service's.
+        """Whether only this server fails, not the service as a whole.
 
-        Compared is what the same entries saw of the other servers since this one
-        began to fail: a service that has just become slow has given its peers no
-        good answers since then either.
+        Looks at the observations of the other servers by entries in the same halls
+        since this server began to fail: if the whole service has just become slow, the
+        peers have given no good answers since then either.
         """
         since_ms = window.began_at_ms
         tallies = [
-            peer.tally(since_ms, halls=scope)
+            peer.count_observations(since_ms, halls=scope)
             for peer in self._records.values()
             if peer is not record and peer.standing is not Standing.EJECTED
         ]
         seen = [tally for tally in tallies if tally.count]
-        if len(seen) < min(PEERS_TO_SEE, len(tallies)) or not seen:
+        if len(seen) < min(MIN_OBSERVED_PEERS, len(tallies)) or not seen:
             return False
-        if sum(seen, Tally()).bad_share <= PEERS_WELL_RATE:
+        if sum(seen, Tally()).bad_share <= MAX_HEALTHY_PEER_BAD_SHARE:
             return True
         age_ms = now_ms - since_ms
-        if age_ms > WIDE_TROUBLE_GIVE_UP_MS:
+        if age_ms > SERVICE_WIDE_FAILURE_GIVE_UP_MS:
             window.reset()
             return False
-        return age_ms >= WIDE_TROUBLE_WAIT_MS and better_half_is_well(seen)
+        return age_ms >= SERVICE_WIDE_FAILURE_WAIT_MS and is_better_half_healthy(seen)
 
-    def _drop_sick_reporters(self, window: Window, now_ms: int) -> None:
-        since_ms = window.began_at_ms - SICK_LOOKBACK_MS
+    def _drop_faulty_reporters(self, window: Window, now_ms: int) -> None:
+        since_ms = window.began_at_ms - FAULTY_REPORTER_LOOKBACK_MS
         for reporter in list(window.bad):
-            if self._is_sick(reporter, since_ms):
+            if self._is_faulty_reporter(reporter, since_ms):
                 for record in self._records.values():
                     for other in record.windows.values():
                         other.drop_reporter(reporter)
 
-    def _is_sick(self, reporter: EntryName, since_ms: int) -> bool:
-        """Whether an entry sees servers fail that all others see well."""
+    def _is_faulty_reporter(self, reporter: EntryName, since_ms: int) -> bool:
+        """Whether an entry sees failures of servers that the others find healthy."""
         own, others, failing_servers = Tally(), Tally(), 0
         for record in self._records.values():
-            tally = record.tally(since_ms, reporter=reporter)
+            tally = record.count_observations(since_ms, reporter=reporter)
             own += tally
             if tally.bad:
                 failing_servers += 1
-                others += record.tally(since_ms, without=frozenset({reporter}))
+                others += record.count_observations(
+                    since_ms, without=frozenset({reporter})
+                )
         return (
-            failing_servers >= SICK_REPORTER_SERVERS
-            and own.bad_share >= SICK_REPORTER_RATE
-            and others.good >= OTHERS_GOOD
-            and others.bad_share < PEERS_WELL_RATE
+            failing_servers >= FAULTY_REPORTER_MIN_SERVERS
+            and own.bad_share >= FAULTY_REPORTER_BAD_SHARE
+            and others.good >= MIN_GOOD_FROM_OTHER_REPORTERS
+            and others.bad_share < MAX_HEALTHY_PEER_BAD_SHARE
         )
 
-    # References.
+    # Reference values for comparison.
 
     def _active_reporters(self, now_ms: int) -> list[Reporter]:
         oldest_ms = now_ms - REPORTER_ACTIVE_MS
         return [r for r in self._reporters.values() if r.heard_at_ms >= oldest_ms]
 
-    def _peer_rate(self) -> float:
-        """The lower quartile of the servers' recent failure rates."""
+    def _peer_failure_rate(self) -> float:
+        """Lower quartile of the servers' recent failure rates."""
         rates = sorted(
-            record.rate.second / (record.rate.first + record.rate.second)
+            record.recent_outcomes.second
+            / (record.recent_outcomes.first + record.recent_outcomes.second)
             for record in self._records.values()
-            if record.rate.first + record.rate.second >= 1
+            if record.recent_outcomes.first + record.recent_outcomes.second >= 1
         )
         return rates[len(rates) // 4] if rates else 0.0
 
-    def _update_normal(self) -> None:
+    def _update_normal_time(self) -> None:
         means_ms = [
             record.time.first / record.time.second
             for record in self._records.values()
--- a/src/cinderway/judgement/_merge.py
+++ b/src/cinderway/judgement/_merge.py
@@ -1,4 +1,7 @@
-"""Merge the assessors' sheets into what one entry acts on. Pure."""
+"""Merging of the assessors' sheets into the verdicts that one entry acts on.
+
+The functions do no I/O; the time is passed in.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -15,10 +18,11 @@
 
 @dataclass(frozen=True)
 class HeldSheet:
-    """A sheet, and when the report that it answers was sent, on this entry's clock.
+    """A sheet and the send time, by this entry's clock, of the report that it answers.
 
-    A verdict's lease counts from then on: what was judged before that report is
-    older still, so no delay on the way can prolong it.
+    The lease of a verdict starts at that time, so a network delay can never prolong it:
+    the assessor sent the sheet after that report. It may have made a verdict even
+    before the report.
     """
 
     sheet: VerdictSheet
@@ -27,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Agreed:
-    """What a quorum of the assessors says of a server."""
+    """The merged verdict of a quorum of assessors on a server."""
 
     is_ejected: bool
     share: float
@@ -43,33 +47,38 @@
     quorum: int,
     now_ms: int,
 ) -> dict[tuple[ServiceName, ServerName], Agreed]:
-    """Return what to do about each server that is not simply healthy.
+    """Return the merged verdict on each server that has a valid one.
 
-    A server is ejected only while at least `quorum` assessors say so, each under a
-    lease that has not run out. Its share is the quorum-th lowest they ask for.
+    A server is ejected only while at least `quorum` assessors have ejected it and their
+    leases have not expired. Its share is the quorum-th lowest of the assessors' shares.
     """
-    said: dict[tuple[ServiceName, ServerName], list[ServerVerdict]] = {}
+    verdicts_by_server: dict[tuple[ServiceName, ServerName], list[ServerVerdict]] = {}
     for held in sheets:
         for verdict in held.sheet.servers:
             is_valid = now_ms < held.report_sent_at_ms + verdict.lease_ms
             if is_valid and (not verdict.halls or own_hall in verdict.halls):
-                said.setdefault((verdict.service, verdict.server), []).append(verdict)
-    return {key: _agree(verdicts, quorum) for key, verdicts in said.items()}
+                verdicts_by_server.setdefault(
+                    (verdict.service, verdict.server), []
+                ).append(verdict)
+    return {
+        key: _merge_verdicts(verdicts, quorum)
+        for key, verdicts in verdicts_by_server.items()
+    }
 
 
 def service_norms(sheets: Collection[HeldSheet]) -> dict[ServiceName, ServiceNormal]:
-    """Return each service's norms as the middle one of the assessors sees them."""
-    said: dict[ServiceName, list[ServiceNormal]] = {}
+    """Return for each service the report with the median of the normal answer times."""
+    norms_by_service: dict[ServiceName, list[ServiceNormal]] = {}
     for held in sheets:
         for service in held.sheet.services:
-            said.setdefault(service.service, []).append(service)
+            norms_by_service.setdefault(service.service, []).append(service)
     return {
         name: sorted(norms, key=lambda norm: norm.normal_ms)[len(norms) // 2]
-        for name, norms in said.items()
+        for name, norms in norms_by_service.items()
     }
 
 
-def _agree(verdicts: list[ServerVerdict], quorum: int) -> Agreed:
+def _merge_verdicts(verdicts: list[ServerVerdict], quorum: int) -> Agreed:
     votes = sum(is_out(verdict.standing) for verdict in verdicts)
     is_ejected = votes >= quorum
     shares = sorted(
@@ -83,7 +92,7 @@
         share = shares[quorum - 1]
     worst = max(verdicts, key=lambda verdict: verdict.score)
     probes = sorted((verdict.probes_per_s for verdict in verdicts), reverse=True)
-    # Asked for by several, probes are made once, not once for each.
-    # The server's own word, which needs no second assessor to be believed.
+    # The highest requested probe rate is used, not the sum: one probe serves all
+    # assessors. Draining needs no second assessor, since the server itself reports it.
     is_draining = any(verdict.is_draining for verdict in verdicts)
     return Agreed(is_ejected, share, worst.score, probes[0], worst.reason, is_draining)
--- a/src/cinderway/judgement/_record.py
+++ b/src/cinderway/judgement/_record.py
@@ -1,4 +1,4 @@
-"""What an assessor remembers of one backend server."""
+"""Per-server state of an assessor: recent observations, standing and ejection time."""
 
 import math
 from collections import deque
@@ -11,23 +11,24 @@
 TIMELINE_MS = 10_000
 RATE_HALF_LIFE_MS = 3_000
 TIME_HALF_LIFE_MS = 10_000
-# Servers turn slow and well again within seconds.
-PACE_HALF_LIFE_MS = 2_000
+# Short, because servers become slow and recover within seconds.
+RECENT_TIME_HALF_LIFE_MS = 2_000
 
-FIRST_BAN_MS = 2_000
-LONGEST_BAN_MS = 30_000
-# A server that stays well this long starts again with the first ban.
-BAN_MEMORY_MS = 60_000
+FIRST_EJECTION_MS = 2_000
+MAX_EJECTION_MS = 30_000
+# A server that stays healthy for this long gets the first, shortest ejection time
+# again when it next fails.
+EJECTION_BACKOFF_RESET_MS = 60_000
 
 
 def is_out(standing: Standing) -> bool:
-    """Whether a server of this standing gets no callers' work."""
+    """Whether a server with this standing gets no callers' requests."""
     return standing in (Standing.EJECTED, Standing.PROBING)
 
 
 @dataclass
-class Decayed:
-    """A pair of sums that fade with a half-life."""
+class DecayingSums:
+    """A pair of sums that decay exponentially with a half-life."""
 
     half_life_ms: int
     first: float = 0.0
@@ -35,7 +36,7 @@
     at_ms: int = 0
 
     def add(self, first: float, second: float, now_ms: int) -> None:
-        """Fade what is there and add to it."""
+        """Decay both sums to `now_ms`, then add `first` and `second`."""
         factor = 0.5 ** ((now_ms - self.at_ms) / self.half_life_ms)
         self.first = self.first * factor + first
         self.second = self.second * factor + second
@@ -43,8 +44,8 @@
 
 
 @dataclass(frozen=True)
-class Observed:
-    """What one report said of the server."""
+class ObservationBatch:
+    """The observations of the server in one report."""
 
     at_ms: int
     reporter: EntryName
@@ -55,19 +56,19 @@
 
 @dataclass(frozen=True)
 class Tally:
-    """Good and bad observations."""
+    """Counts of good and bad observations."""
 
     good: int = 0
     bad: int = 0
 
     @property
     def count(self) -> int:
-        """All observations."""
+        """Number of all observations."""
         return self.good + self.bad
 
     @property
     def bad_share(self) -> float:
-        """Share of bad ones; 0 without any."""
+        """Share of bad observations; 0 if there are no observations."""
         return self.bad / self.count if self.count else 0.0
 
     def __add__(self, other: "Tally") -> "Tally":
@@ -76,55 +77,67 @@
 
 @dataclass
 class ServerRecord:
-    """One server: its windows, one for all entries and one a data hall, its recent
-    observations, and its standing with the deadline at which that is looked at again.
+    """An assessor's state of one server.
+
+    It holds one window for all entries and one for each data hall, the recent
+    observations, and the standing. `until_ms` is the time at which an ejection ends.
+
+    Of the decaying sums, `recent_outcomes` holds the numbers of good and bad
+    observations, `time` and `recent_time` the total and the number of answer times, and
+    `caller_observations` the number of observations of callers' requests.
     """
 
     name: ServerName
     windows: dict[DataHall | None, Window] = field(default_factory=dict)
-    rate: Decayed = field(default_factory=lambda: Decayed(RATE_HALF_LIFE_MS))
-    time: Decayed = field(default_factory=lambda: Decayed(TIME_HALF_LIFE_MS))
-    pace: Decayed = field(default_factory=lambda: Decayed(PACE_HALF_LIFE_MS))
-    callers: Decayed = field(default_factory=lambda: Decayed(RATE_HALF_LIFE_MS))
-    timeline: deque[Observed] = field(default_factory=deque)
+    recent_outcomes: DecayingSums = field(
+        default_factory=lambda: DecayingSums(RATE_HALF_LIFE_MS)
+    )
+    time: DecayingSums = field(default_factory=lambda: DecayingSums(TIME_HALF_LIFE_MS))
+    recent_time: DecayingSums = field(
+        default_factory=lambda: DecayingSums(RECENT_TIME_HALF_LIFE_MS)
+    )
+    caller_observations: DecayingSums = field(
+        default_factory=lambda: DecayingSums(RATE_HALF_LIFE_MS)
+    )
+    timeline: deque[ObservationBatch] = field(default_factory=deque)
     standing: Standing = Standing.HEALTHY
     halls: frozenset[DataHall] = frozenset()
     standing_since_ms: int = 0
     until_ms: int = 0
-    ban_ms: int = FIRST_BAN_MS
-    well_since_ms: int = 0
+    ejection_ms: int = FIRST_EJECTION_MS
+    healthy_since_ms: int = 0
     score: float = 0.0
     reason: str = ""
-    good_since: int = 0
-    bad_since: int = 0
+    good_since_change: int = 0
+    bad_since_change: int = 0
     draining_until_ms: int = 0
 
     def window(self, hall: DataHall | None) -> Window:
-        """The window for a hall's entries, or for all with None."""
+        """Return the window of a hall's entries, or of all entries for None."""
         found = self.windows.get(hall)
         if found is None:
             found = self.windows[hall] = Window()
         return found
 
-    def note(self, observed: Observed) -> None:
-        """Remember a report's observations."""
+    def record_batch(self, observed: ObservationBatch) -> None:
+        """Record one report's observations."""
         self.timeline.append(observed)
         while self.timeline[0].at_ms < observed.at_ms - TIMELINE_MS:
             self.timeline.popleft()
-        self.rate.add(observed.good, observed.bad, observed.at_ms)
-        # Entries of other halls go on using a server ejected for one hall only;
-        # what they see says nothing about the way back there.
+        self.recent_outcomes.add(observed.good, observed.bad, observed.at_ms)
+        # Entries in other halls keep using a server that is ejected for one hall only.
+        # Their observations do not show whether the ejected hall can use it again.
         if not self.halls or observed.hall in self.halls:
-            self.good_since += observed.good
-            self.bad_since += observed.bad
+            self.good_since_change += observed.good
+            self.bad_since_change += observed.bad
 
-    def callers_per_s(self, now_ms: int) -> float:
-        """How many observations a second callers' own requests bring."""
-        self.callers.add(0, 0, now_ms)
+    def caller_observations_per_s(self, now_ms: int) -> float:
+        """Rate of the observations that come from callers' requests, not probes."""
+        self.caller_observations.add(0, 0, now_ms)
         # A steady rate r adds up to r * half-life / ln 2.
-        return self.callers.first * math.log(2) / (RATE_HALF_LIFE_MS / 1000)
+        return self.caller_observations.first * math.log(2) / (RATE_HALF_LIFE_MS / 1000)
 
-    def tally(
+    def count_observations(
         self,
         since_ms: int,
         *,
@@ -132,7 +145,11 @@
         reporter: EntryName | None = None,
         without: frozenset[EntryName] = frozenset(),
     ) -> Tally:
-        """Count the observations since a time; no halls means all halls."""
+        """Count the observations since a time, optionally filtered.
+
+        `halls` limits the count to these halls' entries, where empty means all halls;
+        `reporter` limits it to one entry; `without` leaves out the entries named.
+        """
         good = bad = 0
         for observed in reversed(self.timeline):
             if observed.at_ms < since_ms:
@@ -146,8 +163,8 @@
                 bad += observed.bad
         return Tally(good, bad)
 
-    def halls_seen(self, since_ms: int) -> set[DataHall]:
-        """Data halls whose entries observed the server since a time."""
+    def observing_halls(self, since_ms: int) -> set[DataHall]:
+        """Return the data halls whose entries observed the server since a time."""
         return {o.hall for o in self.timeline if o.at_ms >= since_ms}
 
     @property
@@ -155,24 +172,31 @@
         """The highest score of its windows."""
         return max((window.score for window in self.windows.values()), default=0.0)
 
-    def move_to(self, standing: Standing, now_ms: int, until_ms: int = 0) -> None:
-        """Change the standing and begin counting anew."""
+    def set_standing(self, standing: Standing, now_ms: int, until_ms: int = 0) -> None:
+        """Change the standing; reset the windows and the counts since the change."""
         self.standing = standing
         self.standing_since_ms = now_ms
         self.until_ms = until_ms
         if standing is Standing.HEALTHY:
             self.halls = frozenset()
-        self.good_since = 0
-        self.bad_since = 0
+        self.good_since_change = 0
+        self.bad_since_change = 0
         for window in self.windows.values():
             window.reset()
 
     def eject(self, halls: frozenset[DataHall], score: float, now_ms: int) -> None:
-        """Eject, each time for twice as long, until it was well for a while."""
-        if now_ms - self.well_since_ms > BAN_MEMORY_MS and self.well_since_ms:
-            self.ban_ms = FIRST_BAN_MS
-        self.well_since_ms = 0
+        """Eject the server for `halls`, where empty means all halls.
+
+        Each ejection lasts twice as long as the one before, up to a maximum, until the
+        server has been healthy for `EJECTION_BACKOFF_RESET_MS`.
+        """
+        if (
+            now_ms - self.healthy_since_ms > EJECTION_BACKOFF_RESET_MS
+            and self.healthy_since_ms
+        ):
+            self.ejection_ms = FIRST_EJECTION_MS
+        self.healthy_since_ms = 0
         self.halls = halls
         self.score = score
-        self.move_to(Standing.EJECTED, now_ms, now_ms + self.ban_ms)
-        self.ban_ms = min(self.ban_ms * 2, LONGEST_BAN_MS)
+        self.set_standing(Standing.EJECTED, now_ms, now_ms + self.ejection_ms)
+        self.ejection_ms = min(self.ejection_ms * 2, MAX_EJECTION_MS)
--- a/src/cinderway/judgement/_suspicion.py
+++ b/src/cinderway/judgement/_suspicion.py
@@ -1,14 +1,16 @@
-"""Avoid for a moment a server that has just failed a request. Pure.
+"""Temporary avoidance of servers that have just failed a request.
 
-Backend servers fail in bursts of a few seconds, often over before enough has been seen
-to judge them. Busy ones fail single requests about as often. So a failure makes a
-server suspect at once, and the suspicion fades over a burst's length: at first the
-server gets requests only where nothing better is free, then wherever the others are
-much fuller, at last nearly as before. This is no ejection: it needs no proof and takes
-no capacity away.
+Backend servers fail in bursts of a few seconds, which are often over before there is
+enough evidence for an ejection. Busy servers fail single requests about as often.
+Therefore a failure makes a server suspect at once, and the suspicion decays over the
+length of a burst. At first the server gets requests only if no better server is free,
+then if the others have a much higher load, finally almost as before. This is not an
+ejection: it requires no statistical evidence and removes no capacity.
 
-A request that is overdue may still be answered; then its server was slow and does not
-hang, and the suspicion ends at once, unless a request has failed there too.
+An overdue request may still be answered. Then the server was slow but does not hang,
+and the suspicion ends at once, unless a request has failed there too.
+
+The module does no I/O; the time is passed in.
 """
 
 from collections import Counter
@@ -17,71 +19,72 @@
 from cinderway._ids import ServerName
 from cinderway.judgement._evidence import Bad
 
-# The bursts that the users' servers show last about three seconds.
+# The bursts of failures observed on the users' servers last about three seconds.
 FADES_MS = 2_800
-# A server that is out of reach each time is avoided for twice as long, up to eight
-# times: one that is gone and never says so costs the hall a try each time.
-UNREACHED_DOUBLINGS = 3
-# Requests that were under way when a server became suspect end within about this time.
+# Each time that a server is unreachable again, it is avoided for twice as long as the
+# time before, up to eight times FADES_MS: a server that is gone without notice costs
+# the data hall a failed attempt each time.
+MAX_UNREACHABLE_DOUBLINGS = 3
+# Requests in flight when a server becomes suspect end within about this time.
 UNDER_WAY_MS = 400
 
 
 def suspicion_left(until_ms: int, now_ms: int) -> float:
-    """Return how suspect a server still is, from 1 just after a failure down to 0."""
+    """Return a suspicion's current level: 1 just after a failure, falling to 0."""
     return min(max(until_ms - now_ms, 0) / FADES_MS, 1.0)
 
 
 @dataclass
 class Suspicions:
-    """The servers that failed a moment ago, and when each suspicion ends."""
+    """The servers that have recently failed, and when each suspicion ends."""
 
     _until_ms: dict[ServerName, int] = field(default_factory=dict)
-    # Those that have failed no request yet, but are late with one.
-    _late_only: set[ServerName] = field(default_factory=set)
-    # How often each was out of reach since it last answered well.
-    _unreached: Counter[ServerName] = field(default_factory=Counter)
+    # Suspects with an overdue request that have not failed any.
+    _overdue_only: set[ServerName] = field(default_factory=set)
+    # How often each server was unreachable since its last good answer.
+    _unreachable_counts: Counter[ServerName] = field(default_factory=Counter)
 
     def note_alarm(self, server: ServerName, kind: Bad, now_ms: int) -> int | None:
-        """Note a failed or overdue request; return when suspicion ends if that is new.
+        """Record a failed or overdue request; return the suspicion's end if it changed.
 
-        Failures right after another one do not renew it: they are mostly requests
-        that were under way.
+        Failures within `UNDER_WAY_MS` of another one do not renew the suspicion, as
+        they are mostly requests that were in flight at the time.
         """
         known_until_ms = self._until_ms.get(server, now_ms)
         if kind is not Bad.OVERDUE:
-            self._late_only.discard(server)
+            self._overdue_only.discard(server)
         elif known_until_ms <= now_ms:
-            self._late_only.add(server)
+            self._overdue_only.add(server)
         if now_ms + FADES_MS < known_until_ms + UNDER_WAY_MS:
             return None
-        until_ms = now_ms + self._length_ms(server, kind)
+        until_ms = now_ms + self._suspicion_ms(server, kind)
         if kind is Bad.UNREACHABLE:
-            self._unreached[server] += 1
+            self._unreachable_counts[server] += 1
         self._until_ms[server] = until_ms
         return until_ms
 
-    def _length_ms(self, server: ServerName, kind: Bad) -> int:
+    def _suspicion_ms(self, server: ServerName, kind: Bad) -> int:
         if kind is not Bad.UNREACHABLE:
             return FADES_MS
-        doublings = min(self._unreached[server], UNREACHED_DOUBLINGS)
+        doublings = min(self._unreachable_counts[server], MAX_UNREACHABLE_DOUBLINGS)
         return FADES_MS * 2**doublings
 
     def note_good(self, server: ServerName) -> None:
-        """Note a good answer: the server is there."""
-        self._unreached.pop(server, None)
+        """Record a good answer, which shows that the server is reachable."""
+        self._unreachable_counts.pop(server, None)
 
     def note_late_answer(self, server: ServerName) -> bool:
-        """Note an answer to an overdue request; True if that ends a suspicion."""
-        if server not in self._late_only:
+        """Record an answer to an overdue request; True if it ends a suspicion."""
+        if server not in self._overdue_only:
             return False
-        self._late_only.remove(server)
+        self._overdue_only.remove(server)
         return self._until_ms.pop(server, None) is not None
 
     def forget_old(self, now_ms: int) -> None:
-        """Drop what no longer says anything."""
+        """Drop the suspicions that have ended."""
         self._until_ms = {
             server: until_ms
             for server, until_ms in self._until_ms.items()
             if now_ms < until_ms
         }
-        self._late_only &= self._until_ms.keys()
+        self._overdue_only &= self._until_ms.keys()
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -19,7 +19,7 @@
 GONE_AFTER_MS = 60_000
 UNLISTED_GONE_AFTER_MS = 15_000
 FORGET_AFTER_MS = 600_000
-REVISIONS_KEPT = 20_000
+MAX_KEPT_REVISIONS = 20_000
 
 
 class LiveState(Enum):
@@ -121,7 +121,7 @@
         for name, heard in list(self._entries.items()):
             if now_ms - heard.heard_at_ms >= FORGET_AFTER_MS:
                 del self._entries[name]
-        if len(self._highest_revision) > REVISIONS_KEPT:
+        if len(self._highest_revision) > MAX_KEPT_REVISIONS:
             self._highest_revision = {
                 name: revision
                 for name, revision in self._highest_revision.items()
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -19,18 +19,18 @@
 # Longer than a caller asks again by itself. Each further refusal lasts twice as long,
 # and comes with the first server that ends: such a chance costs one.
 REFUSED_FOR_MS = 600_000
-DOUBLINGS_LIMIT = 7
+MAX_DOUBLINGS = 7
 # An operator who has forgotten one looks again by then.
 BARRED_FOR_MS = 24 * 3_600_000
 # News of the ends before is over by then.
 CLEARED_FOR_MS = 5_000
 # Requests that are held, with and without a ruling: more than a data hall's servers
 # have under way when it loses power. The oldest go first.
-KEPT_LIMIT = 4_096
+MAX_TRACKED_REQUESTS = 4_096
 
 
 @dataclass
-class _Suspect:
+class _SuspectRequest:
     """The servers that ended under a request since it was last ruled on for good."""
 
     ended_at_ms: dict[ServerName, int] = field(default_factory=dict)
@@ -48,7 +48,7 @@
 
     def __init__(self):
         # Both in the order in which they last changed.
-        self._suspects: dict[RequestDigest, _Suspect] = {}
+        self._suspects: dict[RequestDigest, _SuspectRequest] = {}
         self._rulings: dict[RequestDigest, Ruling] = {}
 
     def note_end(
@@ -58,20 +58,20 @@
 
         `server` stands for one start of a server: it counts once.
         """
-        held = self._held(digest, now_ms)
+        held = self._last_ruling(digest, now_ms)
         if not held.standing.is_sent and now_ms < held.until_ms:
             # It was under way there when it was refused.
             return None
-        suspect = self._suspects.pop(digest, None) or _Suspect()
+        suspect = self._suspects.pop(digest, None) or _SuspectRequest()
         suspect.forget_before(now_ms - REMEMBERED_MS)
         suspect.ended_at_ms.setdefault(server, now_ms)
-        _keep(self._suspects, digest, suspect)
-        standing = _standing_by(len(suspect.ended_at_ms), held)
+        _insert_newest(self._suspects, digest, suspect)
+        standing = _standing_after(len(suspect.ended_at_ms), held)
         if standing is held.standing and now_ms < held.until_ms:
             return None
         if standing is Standing.UNKNOWN:
             return None
-        return self._rule(digest, standing, suspect, held, now_ms)
+        return self._make_ruling(digest, standing, suspect, held, now_ms)
 
     def note_good(self, digest: RequestDigest, now_ms: int) -> Ruling | None:
         """Note that a server answered a request well; return the ruling if it is new.
@@ -79,30 +79,30 @@
         Without a ruling so far its earlier ends count no longer.
         """
         suspect = self._suspects.pop(digest, None)
-        held = self._held(digest, now_ms)
+        held = self._last_ruling(digest, now_ms)
         if held.standing not in (Standing.WATCHED, Standing.REFUSED):
             return None
-        cleared = suspect or _Suspect()
-        return self._rule(digest, Standing.CLEARED, cleared, held, now_ms)
+        cleared = suspect or _SuspectRequest()
+        return self._make_ruling(digest, Standing.CLEARED, cleared, held, now_ms)
 
     def bar(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Refuse a request on an operator's word; return the ruling."""
-        suspect = self._suspects.get(digest) or _Suspect()
-        held = self._held(digest, now_ms)
-        return self._rule(digest, Standing.BARRED, suspect, held, now_ms)
+        suspect = self._suspects.get(digest) or _SuspectRequest()
+        held = self._last_ruling(digest, now_ms)
+        return self._make_ruling(digest, Standing.BARRED, suspect, held, now_ms)
 
     def lift(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Clear a request on an operator's word; return the ruling."""
-        suspect = self._suspects.pop(digest, None) or _Suspect()
-        held = self._held(digest, now_ms)
-        return self._rule(digest, Standing.CLEARED, suspect, held, now_ms)
+        suspect = self._suspects.pop(digest, None) or _SuspectRequest()
+        held = self._last_ruling(digest, now_ms)
+        return self._make_ruling(digest, Standing.CLEARED, suspect, held, now_ms)
 
     def learn(self, ruling: Ruling, now_ms: int) -> bool:
         """Take over another process's ruling if it is newer; say whether it was."""
-        held = self._held(ruling.digest, now_ms)
+        held = self._last_ruling(ruling.digest, now_ms)
         if ruling.rank <= held.rank or ruling.until_ms <= now_ms:
             return False
-        self._put(ruling)
+        self._store_ruling(ruling)
         if ruling.standing is Standing.CLEARED:
             self._suspects.pop(ruling.digest, None)
         return True
@@ -135,22 +135,22 @@
         """Return the rulings in force, the newest last."""
         return [r for r in self._rulings.values() if now_ms < r.until_ms]
 
-    def _held(self, digest: RequestDigest, now_ms: int) -> Ruling:
+    def _last_ruling(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Return the last ruling, also one that is over, as long as it still counts."""
         held = self._rulings.get(digest, NO_RULING)
         if now_ms < held.until_ms:
             return held
-        is_chance = held.standing is Standing.REFUSED
-        if is_chance and now_ms < held.until_ms + REMEMBERED_MS:
+        is_retrial = held.standing is Standing.REFUSED
+        if is_retrial and now_ms < held.until_ms + REMEMBERED_MS:
             return held
         self._rulings.pop(digest, None)
         return NO_RULING
 
-    def _rule(
+    def _make_ruling(
         self,
         digest: RequestDigest,
         standing: Standing,
-        suspect: _Suspect,
+        suspect: _SuspectRequest,
         held: Ruling,
         now_ms: int,
     ) -> Ruling:
@@ -159,7 +159,7 @@
             digest,
             standing,
             held.round_number + 1,
-            now_ms + _length_ms(standing, refusals),
+            now_ms + _ruling_duration_ms(standing, refusals),
             min(suspect.ended_at_ms.values(), default=now_ms),
             tuple(suspect.ended_at_ms),
             refusals,
@@ -167,25 +167,25 @@
         if standing is Standing.REFUSED:
             # After its time one more end is enough.
             self._suspects.pop(digest, None)
-        self._put(ruling)
+        self._store_ruling(ruling)
         return ruling
 
-    def _put(self, ruling: Ruling) -> None:
+    def _store_ruling(self, ruling: Ruling) -> None:
         self._rulings.pop(ruling.digest, None)
-        _keep(self._rulings, ruling.digest, ruling)
+        _insert_newest(self._rulings, ruling.digest, ruling)
 
 
-def _standing_by(ends: int, held: Ruling) -> Standing:
+def _standing_after(ends: int, held: Ruling) -> Standing:
     """Return how a request stands after so many ends, by the last ruling on it."""
     if held.refusals or ends >= ENDS_TO_REFUSE:
         return Standing.REFUSED
     return Standing.WATCHED if ends >= ENDS_TO_WATCH else Standing.UNKNOWN
 
 
-def _length_ms(standing: Standing, refusals: int) -> int:
+def _ruling_duration_ms(standing: Standing, refusals: int) -> int:
     match standing:
         case Standing.REFUSED:
-            return REFUSED_FOR_MS * 2 ** min(refusals - 1, DOUBLINGS_LIMIT)
+            return REFUSED_FOR_MS * 2 ** min(refusals - 1, MAX_DOUBLINGS)
         case Standing.BARRED:
             return BARRED_FOR_MS
         case Standing.CLEARED:
@@ -193,8 +193,8 @@
     return REMEMBERED_MS
 
 
-def _keep(held: dict, digest: RequestDigest, value: object) -> None:
+def _insert_newest(held: dict, digest: RequestDigest, value: object) -> None:
     """Add a value as the newest; where there are too many the oldest goes."""
-    if len(held) >= KEPT_LIMIT:
+    if len(held) >= MAX_TRACKED_REQUESTS:
         held.pop(next(iter(held)))
     held[digest] = value
--- a/src/cinderway/routing/_choose.py
+++ b/src/cinderway/routing/_choose.py
@@ -24,7 +24,7 @@
 # suspect at once.
 SAMPLE_SIZE = 8
 # Keeps a server without weight last instead of dividing by zero.
-LEAST_WEIGHT = 0.001
+MIN_WEIGHT = 0.001
 
 
 @dataclass(frozen=True)
@@ -82,7 +82,7 @@
     not all choose the same server.
     """
     best, best_score = None, 0.0
-    for candidate in _drawn(candidates, own_hall, rng, exclude):
+    for candidate in _draw_candidates(candidates, own_hall, rng, exclude):
         penalty = penalties.suspect * candidate.suspicion
         if candidate.data_hall != own_hall:
             penalty += penalties.other_hall
@@ -92,7 +92,7 @@
     return best
 
 
-def _drawn(
+def _draw_candidates(
     candidates: Iterable[Candidate],
     own_hall: DataHall,
     rng: random.Random,
@@ -114,7 +114,7 @@
 
 def _score(candidate: Candidate, penalty: float) -> float:
     effective_weight = candidate.weight / FULL_WEIGHT * candidate.share
-    return (candidate.next_load + penalty) / max(effective_weight, LEAST_WEIGHT)
+    return (candidate.next_load + penalty) / max(effective_weight, MIN_WEIGHT)
 
 
 def rank_of(first: str, second: str) -> int:
--- a/tests/judgement/test_assessor.py
+++ b/tests/judgement/test_assessor.py
@@ -28,16 +28,16 @@
 class ReporterTest(unittest.TestCase):
     def test_report_that_comes_again_or_out_of_order_is_dropped(self):
         reporter = ReporterState()
-        self.assertTrue(reporter.takes(report(2, 0), 0))
-        self.assertFalse(reporter.takes(report(2, 0), 0))
-        self.assertFalse(reporter.takes(report(1, 0), 0))
+        self.assertTrue(reporter.accept(report(2, 0), 0))
+        self.assertFalse(reporter.accept(report(2, 0), 0))
+        self.assertFalse(reporter.accept(report(1, 0), 0))
 
     def test_report_made_long_ago_is_dropped_by_the_sheet_that_it_names(self):
         reporter = ReporterState()
         reporter.note_sheet(1, now_ms=0)
         reporter.note_sheet(2, now_ms=5_000)
-        self.assertFalse(reporter.takes(report(1, 1), REPORT_VALID_MS + 1))
-        self.assertTrue(reporter.takes(report(2, 2), 5_000 + REPORT_VALID_MS))
+        self.assertFalse(reporter.accept(report(1, 1), REPORT_VALID_MS + 1))
+        self.assertTrue(reporter.accept(report(2, 2), 5_000 + REPORT_VALID_MS))
 
 
 class AssignmentTest(unittest.TestCase):
--- a/tests/poison/test_tally.py
+++ b/tests/poison/test_tally.py
@@ -8,7 +8,7 @@
 from cinderway.poison import (
     CLEARED_FOR_MS,
     ENDS_TO_REFUSE,
-    KEPT_LIMIT,
+    MAX_TRACKED_REQUESTS,
     REFUSED_FOR_MS,
     REMEMBERED_MS,
     PoisonTally,
@@ -111,10 +111,10 @@
         self.assertIs(self.standing(1), Standing.CLEARED)
 
     def test_a_million_different_requests_are_not_all_held(self):
-        for number in range(2 * KEPT_LIMIT):
+        for number in range(2 * MAX_TRACKED_REQUESTS):
             digest = RequestDigest(number.to_bytes(16))
             self.end(*range(ENDS_TO_REFUSE), digest=digest)
-        self.assertEqual(len(self.tally.rulings(0)), KEPT_LIMIT)
+        self.assertEqual(len(self.tally.rulings(0)), MAX_TRACKED_REQUESTS)
         self.assertIs(self.standing(digest=digest), Standing.REFUSED)
 
 
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -239,14 +239,14 @@
     Guard(
         "peers are compared with",
         "judgement/_judge.py",
-        "            if scope is not None and self._peers_do_well(",
-        "            if scope is not None or self._peers_do_well(",
+        "            if scope is not None and self._has_healthy_peers(",
+        "            if scope is not None or self._has_healthy_peers(",
         "tests.judgement.test_judge",
     ),
     Guard(
         "a hall that sees the server well is not ejected for",
         "judgement/_judge.py",
-        "        if not contradicts(others, tallies[failing]):\n"
+        "        if not has_contradiction(others, tallies[failing]):\n"
         "            return frozenset()\n",
         "        return frozenset()\n",
         "tests.judgement.test_judge",
