--- a/src/cinderway/membership/__init__.py
+++ b/src/cinderway/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which entries there are: heartbeats first, the platform's lagging list second."""
+"""Fleet membership, from entries' heartbeats and the platform's lagging list."""
 
 from cinderway.membership._fleet import Fleet, HeardEntry, LiveState
 
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -1,11 +1,11 @@
-"""Which entries are there, from their own heartbeats and the platform's list.
+"""Fleet membership, derived from entries' own heartbeats and the platform's list.
 
-The platform's list lags, so alone it proves nothing: an entry is live while it is
-heard, whatever the list says, and an entry that the list leaves out but that is
-heard stays live. The list only shortens the wait for one that falls silent.
+The platform's list lags and is therefore no evidence by itself: an entry is live while
+its heartbeats arrive, even if the list omits it. The list only shortens the timeout of
+an entry whose heartbeats stop.
 
-Heartbeats are passed on from entry to entry with their age, so no two clocks are
-ever compared.
+Entries gossip heartbeats with their age, so that the clocks of two processes are never
+compared.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 
 class LiveState(Enum):
-    """What is believed of an entry."""
+    """The state of an entry according to its heartbeats."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -33,14 +33,17 @@
 
 @dataclass(frozen=True)
 class HeardEntry:
-    """An entry's newest report and when it was made, on this process's clock."""
+    """An entry's newest report and its time of origin by this process's clock."""
 
     report: EntryReport
     heard_at_ms: int
 
 
 class Fleet:
-    """All entries heard of, at first or second hand. Pure: time is passed in."""
+    """All known entries, from heartbeats received directly or by gossip.
+
+    Does no I/O; the time is passed in.
+    """
 
     def __init__(self):
         self._entries: dict[EntryName, HeardEntry] = {}
@@ -48,7 +51,7 @@
         self._listed: frozenset[EntryName] | None = None
 
     def hear(self, report: EntryReport, heard_at_ms: int) -> int:
-        """Note a report; return the highest revision the entry ever reported."""
+        """Record a report; return the highest revision that the entry ever reported."""
         highest = max(self._highest_revision.get(report.name, 0), report.revision)
         self._highest_revision[report.name] = highest
         known = self._entries.get(report.name)
@@ -57,12 +60,12 @@
         return highest
 
     def hear_all(self, reports: list[HeardReport], now_ms: int) -> None:
-        """Note reports that were passed on."""
+        """Record reports received by gossip."""
         for heard in reports:
             self.hear(heard.report, now_ms - heard.ago_ms)
 
     def sample(self, count: int, now_ms: int, rng: random.Random) -> list[HeardReport]:
-        """Return up to `count` reports of entries not gone, to pass on."""
+        """Return reports of up to `count` entries that are not gone, for gossip."""
         names = [
             name
             for name in self._entries
@@ -74,11 +77,11 @@
         return [HeardReport(h.report, max(now_ms - h.heard_at_ms, 0)) for h in heard]
 
     def set_listed(self, names: frozenset[EntryName] | None) -> None:
-        """Take the platform's list, or None when it cannot be had."""
+        """Set the entries on the platform's list, or None if it is unavailable."""
         self._listed = names
 
     def state_of(self, name: EntryName, now_ms: int) -> LiveState:
-        """What is believed of an entry now."""
+        """Return the state of an entry at `now_ms`."""
         heard = self._entries.get(name)
         if heard is None:
             return LiveState.GONE
@@ -90,11 +93,11 @@
         return LiveState.LEAVING if heard.report.is_leaving else LiveState.LIVE
 
     def entries(self) -> list[HeardEntry]:
-        """All entries heard of, by name."""
+        """Return all known entries, sorted by name."""
         return sorted(self._entries.values(), key=lambda heard: heard.report.name)
 
     def live(self, now_ms: int) -> list[EntryReport]:
-        """Newest reports of the entries that are live, by name."""
+        """Return the newest reports of the live entries, sorted by name."""
         return [
             heard.report
             for heard in self.entries()
@@ -102,9 +105,10 @@
         ]
 
     def lowest_table_level(self, now_ms: int) -> int | None:
-        """The table format that every entry not gone understands, if there is one.
+        """Return the newest table format that all entries not gone support, if any.
 
-        Silent entries count: they may be serving behind a one-way cut.
+        Silent entries count, as they may still serve requests behind a one-way network
+        partition. Returns None if there are no entries.
         """
         levels = [
             heard.report.table_level
@@ -114,9 +118,10 @@
         return min(levels, default=None)
 
     def forget_gone(self, now_ms: int) -> None:
-        """Drop entries long gone, so that replaced ones do not pile up.
+        """Drop entries that are long gone, so that replaced ones do not accumulate.
 
-        Their highest revisions stay, as they may come back under their name.
+        Their highest revisions are kept, as they may return under the same name, until
+        there are more than `MAX_KEPT_REVISIONS`.
         """
         for name, heard in list(self._entries.items()):
             if now_ms - heard.heard_at_ms >= FORGET_AFTER_MS:
--- a/src/cinderway/poison/__init__.py
+++ b/src/cinderway/poison/__init__.py
@@ -1,9 +1,11 @@
-"""Requests that end the backend servers which run them ("queries of death").
+"""Detection of requests that crash the backend servers which run them.
 
-Such a request is told by a digest of what its repeats share, whoever sends them to
-whichever entry. Entries tell which servers ended under which requests; once three have
-ended under one, no entry sends it any more, until a good answer to it shows that it was
-not to blame, or its time is over.
+Such requests are known as queries of death. A server "ends" under a request if its
+process stops while the request is in flight there. A request is identified by a digest
+of the parts that its repeats share, whoever sends it and whichever entry receives it.
+Entries report which servers ended under which requests. Once three servers have ended
+under the same request, all entries refuse it, until a good answer shows that it was not
+the cause, or the refusal expires.
 """
 
 from cinderway.poison._digest import DIGEST_BYTES, RequestDigests
--- a/src/cinderway/poison/_digest.py
+++ b/src/cinderway/poison/_digest.py
@@ -1,22 +1,23 @@
-"""What tells whether two requests are the same. Pure."""
+"""Digests that identify repeats of the same request."""
 
 import hashlib
 
 from cinderway._ids import RequestDigest
 
-# Long enough that no two of any number of requests share one by chance.
+# Long enough to make collisions practically impossible for any number of requests.
 DIGEST_BYTES = 16
-# Source: blake2b takes no longer key.
+# The longest key that blake2b accepts.
 KEY_BYTES = 64
-# Source: lengths of up to 2**64 bytes; they keep parts from running into each other.
+# Allows lengths below 2**64 bytes. The length prefix keeps the boundaries between parts
+# unambiguous.
 LENGTH_BYTES = 8
 
 
 class RequestDigests:
-    """Digests that are the same on all entries which hold the same key.
+    """Computes keyed digests, which are equal on all entries with the same key.
 
-    Keyed, so that nobody outside can make two requests that share one, or learn from a
-    log what a request held.
+    Without the key, nobody can construct two requests with the same digest, or infer
+    the content of a request from a digest in a log.
     """
 
     def __init__(self, key: bytes = b""):
@@ -27,7 +28,7 @@
     ) -> RequestDigest:
         """Return a request's digest; `target` is its path and query as sent.
 
-        Headers do not count but for the host: a repeat may carry others.
+        Headers other than the host are left out, as they may differ in a repeat.
         """
         digest = hashlib.blake2b(key=self._key, digest_size=DIGEST_BYTES)
         for part in (method, host.lower(), target, caller, body):
--- a/src/cinderway/poison/_messages.py
+++ b/src/cinderway/poison/_messages.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of requests under which servers ended."""
+"""Messages about requests under which servers ended, and the rulings on them."""
 
 from cinderway._ids import RequestDigest, ServerName
 from cinderway.poison._ruling import Ruling, Standing
@@ -6,16 +6,17 @@
 
 
 class EndedRun(PackedRow, frozen=True):
-    """One start of a server that ended while it had a request."""
+    """A server run, from one start of the server, that ended while it ran a request."""
 
     digest: RequestDigest
     server: ServerName
 
 
 class RequestRuns(PackedMessage, frozen=True):
-    """What an entry saw of requests under which servers end.
+    """An entry's observations of requests under which servers ended.
 
-    `good` are those that a server answered well although others ended under them.
+    `good` holds the requests that a server answered well although other servers ended
+    under them.
     """
 
     ended: list[EndedRun]
@@ -23,7 +24,7 @@
 
 
 class RequestRuling(PackedRow, frozen=True):
-    """How one request stands, and for how long; see `Ruling`."""
+    """A ruling in a form independent of the sender's clock; see `Ruling`."""
 
     digest: RequestDigest
     standing: Standing
@@ -35,7 +36,7 @@
 
     @classmethod
     def of(cls, ruling: Ruling, now_ms: int) -> "RequestRuling":
-        """Return the line that brings a ruling to another process."""
+        """Return the row that carries a ruling to another process."""
         return cls(
             ruling.digest,
             ruling.standing,
@@ -47,7 +48,7 @@
         )
 
     def ruling(self, now_ms: int) -> Ruling:
-        """Return the ruling that `of` made this line from, by the clock here."""
+        """Return the ruling that `of` was given, with times by the local clock."""
         return Ruling(
             self.digest,
             self.standing,
@@ -60,6 +61,6 @@
 
 
 class RequestRulings(PackedMessage, frozen=True):
-    """Which requests are watched, refused or cleared again."""
+    """The sender's rulings: requests that are watched, refused, barred or cleared."""
 
     lines: list[RequestRuling]
--- a/src/cinderway/poison/_ruling.py
+++ b/src/cinderway/poison/_ruling.py
@@ -1,4 +1,4 @@
-"""What is held of one request, and whose word counts where two differ. Pure."""
+"""Rulings on requests under which servers ended, and their precedence."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,22 +7,25 @@
 
 
 class Standing(IntEnum):
-    """How a request stands; of two rulings of one round the later one here counts."""
+    """The status of a request.
 
-    # Nothing speaks against it.
+    Of two rulings with the same round number the one with the higher value prevails.
+    """
+
+    # There is no ruling on it.
     UNKNOWN = 0
-    # Two servers ended under it: it is sent, but not a second time by one entry.
+    # Two servers ended under it: entries send it, but do not retry it.
     WATCHED = 1
-    # It is not sent.
+    # It is not sent to servers.
     REFUSED = 2
-    # A server answered it well after others had ended: it was not to blame.
+    # A server answered it well after others had ended, so it was not the cause.
     CLEARED = 3
-    # An operator refuses it, whatever is answered.
+    # An operator has refused it, and good answers do not clear it.
     BARRED = 4
 
     @property
     def is_sent(self) -> bool:
-        """Whether such a request goes to servers."""
+        """Whether requests with this standing are sent to servers."""
         return self not in (Standing.REFUSED, Standing.BARRED)
 
 
@@ -38,10 +41,11 @@
     standing: Standing
     round_number: int
     until_ms: int
-    # When the first of the servers ended that it was made by.
+    # When the first of the servers ended on which the ruling is based.
     since_ms: int
     servers: tuple[ServerName, ...] = ()
-    # How often it was refused, this time included; its chances in between count.
+    # Number of refusals in a row, including this ruling; an expiry in between, after
+    # which the request was sent again, does not reset it.
     refusals: int = 0
 
     def __str__(self) -> str:
@@ -54,7 +58,7 @@
 
     @property
     def rank(self) -> tuple[int, Standing]:
-        """The ruling with the highest is in force."""
+        """The precedence of the ruling: that with the highest rank is in force."""
         return (self.round_number, self.standing)
 
 
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -1,8 +1,11 @@
-"""Count the servers that ended under each request, and rule on it. Pure.
+"""Counts of the servers that ended under each request, and the rulings based on them.
 
-All that a server has under way ends with it, so one end says little of a request, and
-two innocent ones in a row are seen in a bad minute. Three are hardly chance, and a good
-answer in between clears a request of all.
+When a server ends, all its requests in flight end with it, so a single end is weak
+evidence against any of them. Two ends in a row under a harmless request do occur while
+many servers fail. Three are unlikely to be chance. A good answer in between clears the
+request of all earlier ends.
+
+The module does no I/O; the time is passed in.
 """
 
 from dataclasses import dataclass, field
@@ -12,26 +15,29 @@
 from cinderway.poison._ruling import NO_RULING, Ruling, Standing
 
 ENDS_TO_WATCH = 2
-# Source: the users bear three ends, and three sends of the request after them.
+# The users' requirements tolerate three ended servers, and three more sends of the
+# request after those.
 ENDS_TO_REFUSE = 3
-# Ends further apart are not counted together: callers have long given up by then.
+# Ends further apart are not counted together, as callers have given up by then.
 REMEMBERED_MS = 600_000
-# Longer than a caller asks again by itself. Each further refusal lasts twice as long,
-# and comes with the first server that ends: such a chance costs one.
+# Longer than callers retry automatically. After a refusal has expired, the first server
+# that ends under the request leads to another refusal, which lasts twice as long: each
+# retrial costs one server.
 REFUSED_FOR_MS = 600_000
 MAX_DOUBLINGS = 7
-# An operator who has forgotten one looks again by then.
+# Limits the effect of a bar that an operator has forgotten.
 BARRED_FOR_MS = 24 * 3_600_000
-# News of the ends before is over by then.
+# Reports of ends before the good answer have arrived by then.
 CLEARED_FOR_MS = 5_000
-# Requests that are held, with and without a ruling: more than a data hall's servers
-# have under way when it loses power. The oldest go first.
+# Maximum number of tracked requests, separately for those with and without a ruling:
+# more than the servers of a data hall have in flight when it loses power. The oldest
+# are dropped first.
 MAX_TRACKED_REQUESTS = 4_096
 
 
 @dataclass
 class _SuspectRequest:
-    """The servers that ended under a request since it was last ruled on for good."""
+    """The servers that ended under a request since its last refusal or good answer."""
 
     ended_at_ms: dict[ServerName, int] = field(default_factory=dict)
 
@@ -44,23 +50,23 @@
 
 
 class PoisonTally:
-    """What one process knows of requests under which servers ended."""
+    """One process's state of the requests under which servers ended."""
 
     def __init__(self):
-        # Both in the order in which they last changed.
+        # Both are ordered by the time of the last change, the oldest first.
         self._suspects: dict[RequestDigest, _SuspectRequest] = {}
         self._rulings: dict[RequestDigest, Ruling] = {}
 
     def note_end(
         self, digest: RequestDigest, server: ServerName, now_ms: int
     ) -> Ruling | None:
-        """Note that a server ended under a request; return the ruling if it is new.
+        """Record that a server ended under a request; return a new ruling, if any.
 
-        `server` stands for one start of a server: it counts once.
+        `server` identifies one run of a server, which counts only once.
         """
         held = self._last_ruling(digest, now_ms)
         if not held.standing.is_sent and now_ms < held.until_ms:
-            # It was under way there when it was refused.
+            # The request was in flight at the server when it was refused.
             return None
         suspect = self._suspects.pop(digest, None) or _SuspectRequest()
         suspect.forget_before(now_ms - REMEMBERED_MS)
@@ -74,9 +80,9 @@
         return self._make_ruling(digest, standing, suspect, held, now_ms)
 
     def note_good(self, digest: RequestDigest, now_ms: int) -> Ruling | None:
-        """Note that a server answered a request well; return the ruling if it is new.
+        """Record a good answer to a request; return a new ruling, if any.
 
-        Without a ruling so far its earlier ends count no longer.
+        If there was no ruling, the earlier ends are discarded.
         """
         suspect = self._suspects.pop(digest, None)
         held = self._last_ruling(digest, now_ms)
@@ -86,19 +92,19 @@
         return self._make_ruling(digest, Standing.CLEARED, cleared, held, now_ms)
 
     def bar(self, digest: RequestDigest, now_ms: int) -> Ruling:
-        """Refuse a request on an operator's word; return the ruling."""
+        """Refuse a request at an operator's command; return the ruling."""
         suspect = self._suspects.get(digest) or _SuspectRequest()
         held = self._last_ruling(digest, now_ms)
         return self._make_ruling(digest, Standing.BARRED, suspect, held, now_ms)
 
     def lift(self, digest: RequestDigest, now_ms: int) -> Ruling:
-        """Clear a request on an operator's word; return the ruling."""
+        """Clear a request at an operator's command; return the ruling."""
         suspect = self._suspects.pop(digest, None) or _SuspectRequest()
         held = self._last_ruling(digest, now_ms)
         return self._make_ruling(digest, Standing.CLEARED, suspect, held, now_ms)
 
     def learn(self, ruling: Ruling, now_ms: int) -> bool:
-        """Take over another process's ruling if it is newer; say whether it was."""
+        """Apply another process's ruling if it is newer; return whether it was."""
         held = self._last_ruling(ruling.digest, now_ms)
         if ruling.rank <= held.rank or ruling.until_ms <= now_ms:
             return False
@@ -108,27 +114,27 @@
         return True
 
     def note_runs(self, runs: RequestRuns, now_ms: int) -> list[Ruling]:
-        """Note what an entry saw; return the rulings that are new."""
+        """Record an entry's observations; return the new rulings."""
         found = [self.note_end(run.digest, run.server, now_ms) for run in runs.ended]
         found += [self.note_good(digest, now_ms) for digest in runs.good]
         return [ruling for ruling in found if ruling is not None]
 
     def learn_all(self, told: RequestRulings, now_ms: int) -> list[Ruling]:
-        """Take over another process's rulings; return those that were newer."""
+        """Apply another process's rulings; return those that were newer."""
         rulings = [line.ruling(now_ms) for line in told.lines]
         return [ruling for ruling in rulings if self.learn(ruling, now_ms)]
 
     def standing_of(self, digest: RequestDigest, now_ms: int) -> Standing:
-        """Return how a request stands."""
+        """Return the standing of a request."""
         return self.ruling_of(digest, now_ms).standing
 
     def ruling_of(self, digest: RequestDigest, now_ms: int) -> Ruling:
-        """Return the ruling in force; NO_RULING without one."""
+        """Return the ruling in force, or NO_RULING if there is none."""
         held = self._rulings.get(digest, NO_RULING)
         return held if now_ms < held.until_ms else NO_RULING
 
     def is_known(self, digest: RequestDigest) -> bool:
-        """Whether a good answer to the request would say something."""
+        """Whether the request is tracked, so that a good answer to it is relevant."""
         return digest in self._suspects or digest in self._rulings
 
     def rulings(self, now_ms: int) -> list[Ruling]:
@@ -136,10 +142,14 @@
         return [r for r in self._rulings.values() if now_ms < r.until_ms]
 
     def _last_ruling(self, digest: RequestDigest, now_ms: int) -> Ruling:
-        """Return the last ruling, also one that is over, as long as it still counts."""
+        """Return the last ruling that still counts, or NO_RULING.
+
+        An expired refusal counts for another `REMEMBERED_MS`.
+        """
         held = self._rulings.get(digest, NO_RULING)
         if now_ms < held.until_ms:
             return held
+        # The refusal has expired: the request is sent again, on trial.
         is_retrial = held.standing is Standing.REFUSED
         if is_retrial and now_ms < held.until_ms + REMEMBERED_MS:
             return held
@@ -165,7 +175,7 @@
             refusals,
         )
         if standing is Standing.REFUSED:
-            # After its time one more end is enough.
+            # The earlier ends are not needed: after expiry, one more end is enough.
             self._suspects.pop(digest, None)
         self._store_ruling(ruling)
         return ruling
@@ -176,7 +186,7 @@
 
 
 def _standing_after(ends: int, held: Ruling) -> Standing:
-    """Return how a request stands after so many ends, by the last ruling on it."""
+    """Return a request's standing after a number of ends, given the last ruling."""
     if held.refusals or ends >= ENDS_TO_REFUSE:
         return Standing.REFUSED
     return Standing.WATCHED if ends >= ENDS_TO_WATCH else Standing.UNKNOWN
@@ -194,7 +204,7 @@
 
 
 def _insert_newest(held: dict, digest: RequestDigest, value: object) -> None:
-    """Add a value as the newest; where there are too many the oldest goes."""
+    """Insert a value as the newest; at the limit, drop the oldest one."""
     if len(held) >= MAX_TRACKED_REQUESTS:
         held.pop(next(iter(held)))
     held[digest] = value
--- a/src/cinderway/routing/__init__.py
+++ b/src/cinderway/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which service a request belongs to, and which backend server gets it."""
+"""Routing: the service of a request and the choice of a backend server for it."""
 
 from cinderway.routing._choose import (
     USUAL_PENALTIES,
--- a/src/cinderway/routing/_choose.py
+++ b/src/cinderway/routing/_choose.py
@@ -1,4 +1,4 @@
-"""Choose a backend server: least loaded first, in the own data hall if it can."""
+"""Choice of a backend server by load, with a preference for the own data hall."""
 
 import random
 from collections.abc import Collection, Iterable
@@ -11,28 +11,30 @@
 
 T = TypeVar("T")
 
-# The way to another hall costs more than a small difference in load.
+# Sending a request to another hall costs more than a small difference in load saves.
 OTHER_HALL_PENALTY = 0.25
 FULL_WEIGHT = 100
-# One that has just failed a request comes after another hall's.
+# Larger than OTHER_HALL_PENALTY, so that servers in other halls are preferred to one
+# that has just failed a request.
 SUSPECT_PENALTY = 1.5
-# Small beside one request's share of the 3 or 4 slots that are common.
+# Range of the random tie-break. Small compared with the load of one request, since 3 or
+# 4 slots are common.
 TIE_BREAK = 0.01
-# Servers of the own hall, and as many of the others, among which the emptiest is taken.
-# Loads are known late by some tens of milliseconds: if all entries took the emptiest
-# of all, they would meet there and wait for each other. Of fewer, too many may be
-# suspect at once.
+# Number of servers sampled from the own hall, and again from the other halls; the least
+# loaded of them is chosen. Load reports are some tens of milliseconds old: if all
+# entries chose the least loaded of all servers, their requests would queue at the same
+# one. In a smaller sample, too many servers may be suspect at the same time.
 SAMPLE_SIZE = 8
-# Keeps a server without weight last instead of dividing by zero.
+# Ranks a server without weight last and avoids a division by zero.
 MIN_WEIGHT = 0.001
 
 
 @dataclass(frozen=True)
 class Penalties:
-    """What counts against a server, as shares of its slots.
+    """Penalties added to a server's load, as shares of its slots.
 
-    By so much must a server of another hall, or one that failed a request just now,
-    look emptier than the others before it is chosen.
+    A server in another hall, or one that has just failed a request, is chosen only if
+    its load is lower than that of the other servers by the penalty.
     """
 
     other_hall: float = OTHER_HALL_PENALTY
@@ -46,10 +48,10 @@
 class Candidate:
     """A backend server that may get the request.
 
-    `in_flight` counts this entry's own requests; `known_load` is the share of
-    slots that others fill too, as far as known, 0 if not. `share` scales the
-    weight down during slow start or on probation, over 0 up to 1. `suspicion` is 1
-    just after it failed a request and fades to 0.
+    `in_flight` counts this entry's own requests. `known_load` is the last known share
+    of slots in use, including those that other entries' requests take, or 0 if unknown.
+    `share`, above 0 and at most 1, scales the weight down during slow start or a trial.
+    `suspicion` is 1 just after the server failed a request and decays to 0.
     """
 
     name: ServerName
@@ -63,7 +65,7 @@
 
     @property
     def next_load(self) -> float:
-        """The share of its slots that are taken with one more request, as known."""
+        """The share of its slots in use, as far as known, with one more request."""
         own_load = (self.in_flight + 1) / self.slots
         return max(own_load, self.known_load + 1 / self.slots)
 
@@ -75,10 +77,10 @@
     exclude: Collection[ServerName] = (),
     penalties: Penalties = USUAL_PENALTIES,
 ) -> Candidate | None:
-    """Return the least loaded for its weight of a few candidates, or None.
+    """Return the sampled candidate with the lowest load for its weight, or None.
 
-    A few of the own hall's and a few of the others' are drawn. Ties, which are common
-    with 3 or 4 slots, are broken at random so that entries that see the same loads do
+    Candidates are sampled from the own hall and from the others. Ties, which are common
+    with 3 or 4 slots, are broken at random, so that entries that see the same loads do
     not all choose the same server.
     """
     best, best_score = None, 0.0
@@ -98,7 +100,7 @@
     rng: random.Random,
     exclude: Collection[ServerName],
 ) -> list[Candidate]:
-    """Return some candidates of the own hall and some of others, none excluded."""
+    """Sample candidates of the own hall and of other halls, without excluded ones."""
     allowed = [c for c in candidates if c.name not in exclude]
     own = [c for c in allowed if c.data_hall == own_hall]
     others = [c for c in allowed if c.data_hall != own_hall]
@@ -106,7 +108,7 @@
 
 
 def draw_few(servers: list[T], rng: random.Random) -> list[T]:
-    """Return as many servers, drawn at random, as are compared; all if they are few."""
+    """Return a random sample of `SAMPLE_SIZE` servers, or all if there are no more."""
     if len(servers) <= SAMPLE_SIZE:
         return servers
     return rng.sample(servers, SAMPLE_SIZE)
@@ -127,8 +129,9 @@
 ) -> frozenset[ServerName]:
     """Return the servers that an entry keeps connections to.
 
-    Rendezvous hashing: each entry ranks all servers by a hash of both names, so a
-    server that comes or goes moves only its own share, and nobody has to agree.
+    Uses rendezvous hashing: each entry ranks all servers by a hash of both names. A
+    server that is added or removed changes only its own share of the assignments, and
+    the entries need no coordination.
     """
     if size >= len(servers):
         return frozenset(servers)
--- a/src/cinderway/routing/_load.py
+++ b/src/cinderway/routing/_load.py
@@ -1,9 +1,9 @@
-"""How full a server probably is, from its last known load. Pure."""
+"""Estimate of a server's current load from its last known load."""
 
-# Two or three requests' time: a queue that nobody adds to is worked off by then.
+# The time of two or three requests, within which a queue without new requests is empty.
 LOAD_FADES_MS = 1_000
 
 
 def faded_load(load: float, age_ms: int) -> float:
-    """Return what is left of a load, as a share of slots, after `age_ms`."""
+    """Return a load, as a share of slots, decayed linearly by its age."""
     return load * max(1 - max(age_ms, 0) / LOAD_FADES_MS, 0.0)
--- a/src/cinderway/routing/_routes.py
+++ b/src/cinderway/routing/_routes.py
@@ -1,4 +1,4 @@
-"""Find the service of a path: the longest path prefix that the table holds."""
+"""Look-up of a path's service by the longest matching path prefix in the table."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,17 @@
 
 @dataclass(frozen=True)
 class RouteMatch:
-    """A request's service, and whether it may run at most once."""
+    """A request's service, and whether the request may run at most once."""
 
     service: ServiceRow
     is_run_once: bool
 
 
 class RouteTable:
-    """Prefixes by whole path segments; a look-up costs the path's depth."""
+    """Path prefixes of all services, which match whole path segments.
+
+    A look-up takes one step for each segment of the path.
+    """
 
     def __init__(self, services: list[ServiceRow]):
         self._services: dict[str, ServiceRow] = {}
--- a/tests/judgement/test_assessor.py
+++ b/tests/judgement/test_assessor.py
@@ -26,13 +26,13 @@
 
 
 class ReporterTest(unittest.TestCase):
-    def test_report_that_comes_again_or_out_of_order_is_dropped(self):
+    def test_duplicate_or_reordered_report_is_dropped(self):
         reporter = ReporterState()
         self.assertTrue(reporter.accept(report(2, 0), 0))
         self.assertFalse(reporter.accept(report(2, 0), 0))
         self.assertFalse(reporter.accept(report(1, 0), 0))
 
-    def test_report_made_long_ago_is_dropped_by_the_sheet_that_it_names(self):
+    def test_old_report_is_dropped_by_the_age_of_the_sheet_that_it_names(self):
         reporter = ReporterState()
         reporter.note_sheet(1, now_ms=0)
         reporter.note_sheet(2, now_ms=5_000)
@@ -42,7 +42,7 @@
 
 class AssignmentTest(unittest.TestCase):
     @given(FLEETS)
-    def test_assessors_stand_in_different_halls_where_they_can(self, fleet):
+    def test_assessors_are_in_different_halls_if_possible(self, fleet):
         live = [entry(number, hall) for number, hall in fleet.items()]
         chosen = assessors_of(3, live)
         self.assertEqual(len(chosen), min(3, len(live)))
--- a/tests/judgement/test_evidence.py
+++ b/tests/judgement/test_evidence.py
@@ -37,7 +37,7 @@
         counts = self.counts()
         self.assertEqual((counts.good, counts.bad_total), (50, 0))
 
-    def test_download_that_stands_still_is_overdue(self):
+    def test_stalled_download_is_overdue(self):
         self.log.first_byte(self.attempt, 200, 20)
         self.log.progress(self.attempt, PIECE_BYTES // 2, 100)
         self.log.sweep(400)
@@ -49,7 +49,7 @@
         self.log.sweep(5_100)
         self.assertEqual(self.counts().bad_total, 0)
 
-    def test_shed_request_says_nothing_about_health(self):
+    def test_shed_request_is_no_observation(self):
         self.log.end(self.attempt)
         self.assertEqual(self.log.take(), {})
 
@@ -58,13 +58,13 @@
             self.log.sweep(now_ms)
         self.assertEqual(self.counts().bad_total, 3)
 
-    def test_before_a_pace_is_known_the_objective_stands_in_for_it(self):
+    def test_pace_is_estimated_from_the_objective_until_it_is_known(self):
         log = EvidenceLog()
         log.assume_paces({"maps": 600, "none": 0})
         self.assertEqual(log.pace("maps"), Pace.from_objective(600))
         self.assertEqual(log.pace("none"), EvidenceLog().pace("none"))
 
-    def test_a_service_that_is_full_makes_no_request_late_beyond_its_objective(self):
+    def test_time_until_late_is_below_the_objective_even_at_full_load(self):
         self.log.assume_paces({"maps": 600})
         self.log.set_pace("maps", Pace(usual_ms=300, slow_ms=700, late_ms=900))
         late_ms = Pace.from_objective(600).late_ms
@@ -72,22 +72,22 @@
         self.assertLess(late_ms, 600)
         self.assertEqual(self.log.pace("maps").usual_ms, 300)
 
-    def test_the_next_late_moment_is_that_of_the_oldest_request(self):
+    def test_next_late_time_is_that_of_the_oldest_request(self):
         self.assertEqual(EvidenceLog().next_late_at_ms(), math.inf)
         self.log.begin("maps", "m2", 40)
         self.assertEqual(self.log.next_late_at_ms(), self.log.late_after_ms("maps"))
 
-    def test_an_answer_to_an_overdue_request_is_told_at_once(self):
-        told = []
-        self.log.on_late_answer = told.append
+    def test_late_answer_is_reported_at_once(self):
+        servers = []
+        self.log.on_late_answer = servers.append
         self.log.sweep(300)
         self.log.take()
         self.log.first_byte(self.attempt, 200, 400)
-        self.assertEqual(told, ["m1"])
+        self.assertEqual(servers, ["m1"])
         self.assertTrue(self.log.has_urgent)
         self.assertEqual(self.counts().late_answers, 1)
 
-    def test_times_of_answers_are_told_but_not_those_of_errors(self):
+    def test_answer_times_are_reported_except_for_errors(self):
         self.log.first_byte(self.attempt, 200, 70)
         failing = self.log.begin("maps", "m1", 0)
         self.log.first_byte(failing, 500, 5)
--- a/tests/judgement/test_floor.py
+++ b/tests/judgement/test_floor.py
@@ -31,7 +31,7 @@
         self.assertGreaterEqual(healthy_slots(servers, ejected), reachable)
 
     @given(CAPACITIES, st.integers(0, 100))
-    def test_only_condemned_servers_are_ejected_and_the_worst_stay_out(
+    def test_only_condemned_servers_are_ejected_and_the_worst_stay_ejected(
         self, servers, floor_slots
     ):
         ejected = permitted_ejections(servers, floor_slots)
@@ -42,9 +42,9 @@
         if out and back:
             self.assertGreaterEqual(min(out), max(back))
 
-    def test_server_is_taken_back_when_capacity_falls_for_another_reason(self):
-        sick = Capacity("a", 4, True, True, 9.0)
+    def test_server_is_reinstated_when_capacity_falls_for_another_reason(self):
+        failing = Capacity("a", 4, True, True, 9.0)
         others = [Capacity(n, 4, True, False, 0.0) for n in "bc"]
-        self.assertEqual(permitted_ejections([sick, *others], 8), {"a"})
+        self.assertEqual(permitted_ejections([failing, *others], 8), {"a"})
         drained = Capacity("b", 4, False, False, 0.0)
-        self.assertEqual(permitted_ejections([sick, drained, others[1]], 8), set())
+        self.assertEqual(permitted_ejections([failing, drained, others[1]], 8), set())
--- a/tests/judgement/test_judge.py
+++ b/tests/judgement/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge against each kind of gray failure, in virtual time."""
+"""Detection of each kind of gray failure, in virtual time."""
 
 import random
 import unittest
@@ -18,9 +18,9 @@
 
 
 class World:
-    """Entries that send requests at random and report what they saw.
+    """Simulates entries that send requests at random and report the outcomes.
 
-    `failing(entry, server, now_ms)` gives the probability that a request fails.
+    `failing(entry, server, now_ms)` returns the probability that a request fails.
     """
 
     def __init__(
@@ -107,8 +107,12 @@
         self.assertLessEqual(world.first_out_ms("s3"), 4000)
         self.assertEqual(world.ever_out(), {"s3"})
 
-    def test_server_that_fails_a_third_is_ejected_for_every_hall_soon(self):
-        """Not at once: what one hall saw at first can look like a cut."""
+    def test_server_that_fails_a_third_is_soon_ejected_for_every_hall(self):
+        """Guards against an ejection that stays limited to one data hall.
+
+        The early observations of one hall can look like a network partition, so the
+        server may be ejected for that hall first; the others must follow.
+        """
         for seed in range(12):
             world = World(lambda e, server, now: 0.3 * (server == "s3"), seed=seed)
             while not world.out() and world.now_ms < 20_000:
@@ -122,26 +126,28 @@
                 world.run(100)
             self.assertNotIn(None, found_ms.values(), f"seed {seed}")
 
-    def test_healthy_servers_with_stray_failures_stay(self):
+    def test_healthy_servers_with_occasional_failures_are_not_ejected(self):
         world = World(lambda entry, server, now: 0.005).run(120_000)
         self.assertEqual(world.ever_out(), set())
 
-    def test_sick_entry_ejects_nobody(self):
+    def test_faulty_entry_ejects_nothing(self):
         world = World(lambda entry, server, now: entry == "e0").run(30_000)
         self.assertEqual(world.ever_out(), set())
 
-    def test_word_of_one_entry_and_a_stray_failure_eject_nobody(self):
-        strays = [True]
+    def test_faulty_entry_and_one_unrelated_failure_eject_nothing(self):
+        unrelated_failures = [True]
 
         def failing(entry, server, now):
             if server != "s3":
                 return False
-            return entry == "e0" or (now >= 5_000 and bool(strays) and strays.pop())
+            return entry == "e0" or (
+                now >= 5_000 and bool(unrelated_failures) and unrelated_failures.pop()
+            )
 
         world = World(failing, bias=Bias.DETECT_SOON).run(20_000)
         self.assertEqual(world.ever_out(), set())
 
-    def test_sick_entry_does_not_hide_a_sick_server(self):
+    def test_faulty_entry_does_not_hide_a_failing_server(self):
         world = World(lambda e, server, now: e == "e0" or server == "s3").run(6000)
         self.assertEqual(world.ever_out(), {"s3"})
 
@@ -149,16 +155,18 @@
         world = World(lambda entry, server, now: 0.9 * (now > 3000)).run(20_000)
         self.assertEqual(world.ever_out(), set())
 
-    def test_request_that_fails_everywhere_ejects_nobody(self):
+    def test_requests_that_fail_on_every_server_eject_nothing(self):
         world = World(lambda entry, server, now: 0.25 * (now > 3000)).run(20_000)
         self.assertEqual(world.ever_out(), set())
 
     def test_half_of_the_servers_failing_at_once_are_all_ejected(self):
-        sick = set(SERVERS[:5])
-        world = World(lambda e, server, now: server in sick and now > 2000).run(15_000)
-        self.assertEqual(world.ever_out(), sick)
+        failing_servers = set(SERVERS[:5])
+        world = World(
+            lambda e, server, now: server in failing_servers and now > 2000
+        ).run(15_000)
+        self.assertEqual(world.ever_out(), failing_servers)
 
-    def test_server_cut_off_from_one_hall_is_ejected_there_only(self):
+    def test_server_partitioned_from_one_hall_is_ejected_there_only(self):
         def failing(entry, server, now):
             return server == "s3" and hall_of(entry) == "nadi"
 
@@ -166,8 +174,11 @@
         self.assertIn("s3", world.out("nadi"))
         self.assertNotIn("s3", world.out("suva"))
 
-    def test_entry_hall_cut_off_at_once_from_every_other_hall(self):
-        """As test_entry_hall…, over many seeds and with the cut beginning later."""
+    def test_hall_of_entries_partitioned_later_ejects_nothing_elsewhere(self):
+        """Guards against ejections in the healthy halls when a partition begins later.
+
+        As test_partitioned_hall_of_entries_ejects_nothing_elsewhere, for many seeds.
+        """
         far = set(SERVERS[:6])
 
         def failing(entry, server, now):
@@ -180,7 +191,7 @@
                 elsewhere = world.out("suva") | world.out("lautoka")
                 self.assertEqual(elsewhere, set(), f"seed {seed}, {world.now_ms} ms")
 
-    def test_entry_hall_cut_off_from_others_ejects_nothing_elsewhere(self):
+    def test_partitioned_hall_of_entries_ejects_nothing_elsewhere(self):
         far = set(SERVERS[:6])
 
         def failing(entry, server, now):
@@ -189,7 +200,7 @@
         world = World(failing).run(8000)
         self.assertEqual(world.out("suva") | world.out("lautoka"), set())
 
-    def test_flapping_server_is_out_for_longer_each_time(self):
+    def test_flapping_server_is_ejected_for_longer_each_time(self):
         def failing(entry, server, now):
             return server == "s3" and now // 3000 % 2 == 0
 
@@ -199,7 +210,7 @@
         late = sum(ms > 40_000 for ms in out)
         self.assertGreater(late, early)
 
-    def test_server_comes_back_by_trial_and_slow_start(self):
+    def test_recovered_server_is_readmitted_by_trial_and_slow_start(self):
         world = World(lambda e, server, now: server == "s3" and now < 3000).run(15_000)
         record = next(r for r in world.judge.records() if r.name == "s3")
         self.assertIs(record.standing, Standing.HEALTHY)
--- a/tests/judgement/test_merge.py
+++ b/tests/judgement/test_merge.py
@@ -1,4 +1,4 @@
-"""What entries do who hear different things, late, twice or not at all."""
+"""Merging of verdict sheets that arrive late, more than once or not at all."""
 
 import unittest
 
@@ -48,14 +48,14 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_one_assessor_alone_ejects_nobody(self):
+    def test_one_assessor_alone_ejects_nothing(self):
         self.assertEqual(ejected([held("a", [verdict("s0")]), held("b", [])]), set())
 
     def test_two_of_three_assessors_eject(self):
         sheets = [held(name, [verdict("s0")]) for name in "ab"]
         self.assertEqual(ejected([*sheets, held("c", [])]), {"s0"})
 
-    def test_ejection_ends_unless_its_lease_is_renewed(self):
+    def test_ejection_ends_when_its_lease_expires(self):
         sheets = [held(name, [verdict("s0")], sent_at_ms=100) for name in "ab"]
         self.assertEqual(ejected(sheets, now_ms=100 + LEASE_MS - 1), {"s0"})
         self.assertEqual(ejected(sheets, now_ms=100 + LEASE_MS), set())
@@ -65,7 +65,7 @@
         self.assertEqual(ejected(sheets, hall="suva"), set())
         self.assertEqual(ejected(sheets, hall="nadi"), {"s0"})
 
-    def test_drain_signal_counts_by_one_assessors_word(self):
+    def test_drain_signal_from_one_assessor_suffices(self):
         drained = verdict("s0", Standing.HEALTHY, share=1.0, is_draining=True)
         agreed = merge_sheets([held("a", [drained])], "suva", 2, 0)["lookup", "s0"]
         self.assertTrue(agreed.is_draining)
@@ -77,11 +77,13 @@
         self.assertEqual(agreed["lookup", "s0"].share, 0.1)
 
     @given(st.data())
-    def test_entries_that_hear_different_things_do_not_go_below_the_floor_together(
+    def test_entries_with_different_sheets_do_not_go_below_the_floor_together(
         self, data
     ):
-        """Each entry keeps the floor by itself, so the servers that none uses, a
-        subset of what any one has ejected, leave it whole too.
+        """Guards against entries that together eject more than the floor permits.
+
+        Each entry enforces the floor by itself. The servers that no entry uses are a
+        subset of those that any single entry has ejected, so they keep the floor too.
         """
         sheets = [
             held(
--- a/tests/poison/test_digest.py
+++ b/tests/poison/test_digest.py
@@ -1,4 +1,4 @@
-"""Repeats of one request share a digest; no two different requests do."""
+"""Repeats of one request have the same digest; different requests differ."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 class DigestTests(unittest.TestCase):
     digests = RequestDigests(b"a key")
 
-    def test_entries_with_one_key_agree(self):
+    def test_entries_with_the_same_key_agree(self):
         parts = (b"GET", b"a.example", b"/p/x?q=1", b"acme", b"body")
         self.assertEqual(self.digests.of(*parts), RequestDigests(b"a key").of(*parts))
 
@@ -26,14 +26,14 @@
         are_same = self.digests.of(*one) == self.digests.of(*other)
         self.assertEqual(are_same, lower_host(one) == lower_host(other))
 
-    def test_a_part_does_not_run_into_the_next(self):
+    def test_boundaries_between_parts_are_significant(self):
         one = self.digests.of(b"GET", b"", b"/a", b"b", b"")
         self.assertNotEqual(one, self.digests.of(b"GET", b"", b"/ab", b"", b""))
 
-    def test_a_hosts_capitals_do_not_count(self):
+    def test_case_of_the_host_is_ignored(self):
         one = self.digests.of(b"GET", b"A.example", b"/", b"", b"")
         self.assertEqual(one, self.digests.of(b"GET", b"a.EXAMPLE", b"/", b"", b""))
 
-    def test_without_the_key_nobody_can_tell_which_requests_share_a_digest(self):
+    def test_digest_depends_on_the_key(self):
         parts = (b"GET", b"a.example", b"/", b"", b"")
         self.assertNotEqual(self.digests.of(*parts), RequestDigests(b"b").of(*parts))
--- a/tests/poison/test_tally.py
+++ b/tests/poison/test_tally.py
@@ -1,4 +1,4 @@
-"""When a request is no longer sent, and when it is again."""
+"""Rulings that stop a request from being sent, and their end."""
 
 import unittest
 
@@ -41,15 +41,15 @@
         self.end("a", "a", "a", "b", "b")
         self.assertIs(self.standing(), Standing.WATCHED)
 
-    def test_another_request_is_not_to_blame(self):
+    def test_other_requests_are_unaffected(self):
         self.end("a", "b", "c")
         self.assertIs(self.standing(digest=E), Standing.UNKNOWN)
 
-    def test_what_was_under_way_when_it_was_refused_changes_nothing(self):
+    def test_ends_after_the_refusal_change_nothing(self):
         self.end("a", "b", "c")
         self.assertEqual(self.end("d", "e"), [None, None])
 
-    def test_a_good_answer_clears_it_and_counting_starts_anew(self):
+    def test_good_answer_clears_it_and_restarts_the_count(self):
         self.end("a", "b", "c")
         ruling = self.tally.note_good(D, 1)
         self.assertIs(ruling.standing, Standing.CLEARED)
@@ -58,7 +58,7 @@
         self.end("e", "f", at_ms=2)
         self.assertIs(self.standing(2), Standing.REFUSED)
 
-    def test_a_good_answer_between_two_ends_counts_though_nothing_was_ruled(self):
+    def test_good_answer_before_any_ruling_resets_the_count(self):
         self.end("a")
         self.assertIsNone(self.tally.note_good(D, 1))
         self.end("b", at_ms=2)
@@ -69,7 +69,7 @@
         self.end("c", at_ms=REMEMBERED_MS + 1)
         self.assertIs(self.standing(REMEMBERED_MS + 1), Standing.UNKNOWN)
 
-    def test_after_its_time_it_has_a_chance_that_costs_one_server(self):
+    def test_expired_refusal_is_renewed_by_the_next_end(self):
         self.end("a", "b", "c")
         over_ms = REFUSED_FOR_MS
         self.assertIs(self.standing(over_ms - 1), Standing.REFUSED)
@@ -78,20 +78,20 @@
         self.assertIs(ruling.standing, Standing.REFUSED)
         self.assertEqual(ruling.until_ms, over_ms + 7 + 2 * REFUSED_FOR_MS)
 
-    def test_a_chance_that_ends_well_forgets_the_refusals(self):
+    def test_good_answer_after_an_expired_refusal_resets_the_refusals(self):
         self.end("a", "b", "c")
         self.tally.note_good(D, REFUSED_FOR_MS + 1)
         at_ms = REFUSED_FOR_MS + 1 + CLEARED_FOR_MS
         self.end("d", at_ms=at_ms)
         self.assertIs(self.standing(at_ms), Standing.UNKNOWN)
 
-    def test_a_long_time_after_the_last_refusal_it_starts_anew(self):
+    def test_refusals_are_reset_long_after_the_last_one_expired(self):
         self.end("a", "b", "c")
         at_ms = REFUSED_FOR_MS + REMEMBERED_MS
         self.end("d", at_ms=at_ms)
         self.assertIs(self.standing(at_ms), Standing.UNKNOWN)
 
-    def test_what_an_operator_bars_is_sent_again_when_an_operator_lifts_it(self):
+    def test_barred_request_is_sent_again_only_after_an_operator_lifts_it(self):
         self.tally.bar(D, 0)
         self.end("a")
         self.assertIsNone(self.tally.note_good(D, 1))
@@ -99,7 +99,7 @@
         self.tally.lift(D, 2)
         self.assertTrue(self.standing(2).is_sent)
 
-    def test_others_words_count_by_their_round(self):
+    def test_rulings_of_other_processes_apply_by_round_number(self):
         other = PoisonTally()
         for server in ("a", "b", "c"):
             refused = self.tally.note_end(D, server, 0)
@@ -110,7 +110,7 @@
         self.assertFalse(self.tally.learn(refused, 1))
         self.assertIs(self.standing(1), Standing.CLEARED)
 
-    def test_a_million_different_requests_are_not_all_held(self):
+    def test_number_of_tracked_requests_is_bounded(self):
         for number in range(2 * MAX_TRACKED_REQUESTS):
             digest = RequestDigest(number.to_bytes(16))
             self.end(*range(ENDS_TO_REFUSE), digest=digest)
@@ -130,7 +130,7 @@
 
 class AgreementTests(unittest.TestCase):
     @given(STEPS)
-    def test_tallies_that_tell_each_other_agree(self, steps):
+    def test_tallies_that_exchange_rulings_agree(self, steps):
         tallies = [PoisonTally() for _ in range(3)]
         now_ms = 0
         for index, what, pause_ms in steps:
@@ -159,7 +159,7 @@
                 tally.note_end(D, ServerName(f"s{server}"), now_ms)
 
     @given(STEPS)
-    def test_what_no_server_ended_under_three_times_is_never_refused(self, steps):
+    def test_request_with_fewer_than_three_ends_is_never_refused(self, steps):
         tally, ends, now_ms = PoisonTally(), set(), 0
         for _, what, pause_ms in steps:
             now_ms += pause_ms
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -60,36 +60,38 @@
     def test_least_loaded_server_is_chosen(self):
         self.assertEqual(self.choose(candidate("a", in_flight=2), candidate("b")), "b")
 
-    def test_own_hall_goes_before_another_at_equal_load(self):
+    def test_own_hall_is_preferred_at_equal_load(self):
         self.assertEqual(self.choose(candidate("a", "nadi"), candidate("b")), "b")
 
-    def test_loaded_own_hall_gives_way_to_an_idle_one_elsewhere(self):
+    def test_idle_server_in_another_hall_is_preferred_to_a_loaded_own_one(self):
         loaded = candidate("b", in_flight=3)
         self.assertEqual(self.choose(candidate("a", "nadi"), loaded), "a")
 
-    def test_server_on_trial_gets_less(self):
+    def test_server_on_trial_gets_fewer_requests(self):
         self.assertEqual(self.choose(candidate("a", share=0.1), candidate("b")), "b")
 
-    def test_a_suspect_gets_work_only_where_the_others_are_much_fuller(self):
+    def test_suspect_is_chosen_only_if_the_others_have_a_much_higher_load(self):
         suspect = candidate("a", suspicion=1.0)
         self.assertEqual(self.choose(suspect, candidate("b", load=1.0)), "b")
         self.assertEqual(self.choose(suspect, candidate("b", load=2.0)), "a")
 
-    def test_a_suspicion_that_fades_counts_for_less(self):
+    def test_penalty_falls_as_the_suspicion_decays(self):
         full = candidate("b", load=1.0)
         self.assertEqual(self.choose(candidate("a", suspicion=0.9), full), "b")
         self.assertEqual(self.choose(candidate("a", suspicion=0.1), full), "a")
 
-    def test_a_request_that_cannot_be_sent_again_waits_longer_for_another(self):
+    def test_larger_suspect_penalty_accepts_a_higher_load_elsewhere(self):
         servers = (candidate("a", suspicion=1.0), candidate("b", load=1.75))
         rng = random.Random(1)
         self.assertEqual(choose(servers, "suva", rng).name, "a")
+        # Requests that cannot be sent again have a larger suspect penalty.
         chosen = choose(servers, "suva", rng, penalties=Penalties(suspect=2.0))
         self.assertEqual(chosen.name, "b")
 
-    def test_a_large_answer_crosses_halls_only_from_a_much_fuller_server(self):
+    def test_larger_hall_penalty_keeps_a_request_in_a_loaded_own_hall(self):
         servers = (candidate("a", "nadi"), candidate("b", load=1.5))
         rng = random.Random(1)
+        # The penalty grows with the size of the answer.
         small, large = Penalties(other_hall=0.7), Penalties(other_hall=2.0)
         self.assertEqual(choose(servers, "suva", rng, penalties=small).name, "a")
         self.assertEqual(choose(servers, "suva", rng, penalties=large).name, "b")
@@ -100,7 +102,7 @@
 
 class LoadTest(unittest.TestCase):
     @given(st.floats(0, 10), st.integers(-50, 5_000), st.integers(0, 1_000))
-    def test_a_known_load_only_ever_fades_and_is_gone_in_the_end(
+    def test_known_load_never_rises_with_age_and_falls_to_zero(
         self, load, age_ms, later_ms
     ):
         first, second = faded_load(load, age_ms), faded_load(load, age_ms + later_ms)
@@ -111,7 +113,7 @@
 
 class SubsetTest(unittest.TestCase):
     @given(st.integers(1, 30), st.integers(2, 40))
-    def test_server_that_goes_moves_only_its_own_share(self, size, count):
+    def test_removed_server_changes_only_its_own_share_of_the_subset(self, size, count):
         servers = [f"s{n}" for n in range(count)]
         before = own_subset("e1", servers, size)
         after = own_subset("e1", servers[1:], size)
