--- a/src/cinderway/judgement/_conversation.py
+++ b/src/cinderway/judgement/_conversation.py
@@ -50,8 +50,8 @@
     def main_alarm(self) -> Bad | None:
         """The strongest kind of alarm in this evidence, or None if there is none.
 
-        ERROR and CUT come before UNREACHABLE: a server that failed a request exists,
-        whereas one that was only unreachable may be gone.
+        ERROR and CUT come before UNREACHABLE: a server that failed a request is known
+        to be running, whereas one that was only unreachable may be gone.
         """
         if self.error or self.cut:
             return Bad.ERROR
--- a/src/cinderway/judgement/_evidence.py
+++ b/src/cinderway/judgement/_evidence.py
@@ -78,7 +78,7 @@
     """Quantiles of a service's answer times.
 
     Half of the answers come within `usual_ms` and nine tenths within `slow_ms`. An
-    answer that takes longer than `late_ms` counts as a failure of its server.
+    answer that takes longer than `late_ms` is a bad observation of its server.
     """
 
     usual_ms: float
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class HeardEntry:
+class KnownEntry:
     """An entry's newest report and its time of origin by this process's clock."""
 
     report: EntryReport
@@ -46,7 +46,7 @@
     """
 
     def __init__(self):
-        self._entries: dict[EntryName, HeardEntry] = {}
+        self._entries: dict[EntryName, KnownEntry] = {}
         self._highest_revision: dict[EntryName, int] = {}
         self._listed: frozenset[EntryName] | None = None
 
@@ -56,7 +56,7 @@
         self._highest_revision[report.name] = highest
         known = self._entries.get(report.name)
         if known is None or heard_at_ms > known.heard_at_ms:
-            self._entries[report.name] = HeardEntry(report, heard_at_ms)
+            self._entries[report.name] = KnownEntry(report, heard_at_ms)
         return highest
 
     def hear_all(self, reports: list[HeardReport], now_ms: int) -> None:
@@ -92,7 +92,7 @@
             return LiveState.SILENT
         return LiveState.LEAVING if heard.report.is_leaving else LiveState.LIVE
 
-    def entries(self) -> list[HeardEntry]:
+    def entries(self) -> list[KnownEntry]:
         """Return all known entries, sorted by name."""
         return sorted(self._entries.values(), key=lambda heard: heard.report.name)
 
--- a/src/cinderway/routing/__init__.py
+++ b/src/cinderway/routing/__init__.py
@@ -9,11 +9,11 @@
     own_subset,
     rank_of,
 )
-from cinderway.routing._load import LOAD_FADES_MS, faded_load
+from cinderway.routing._load import LOAD_DECAY_MS, faded_load
 from cinderway.routing._routes import RouteMatch, RouteTable
 
 __all__ = [
-    "LOAD_FADES_MS",
+    "LOAD_DECAY_MS",
     "USUAL_PENALTIES",
     "Candidate",
     "Penalties",
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -4,7 +4,7 @@
 from hypothesis import given, strategies as st
 
 from cinderway.routing import (
-    LOAD_FADES_MS,
+    LOAD_DECAY_MS,
     Candidate,
     Penalties,
     RouteTable,
@@ -91,7 +91,7 @@
     def test_larger_hall_penalty_keeps_a_request_in_a_loaded_own_hall(self):
         servers = (candidate("a", "nadi"), candidate("b", load=1.5))
         rng = random.Random(1)
-        # The penalty grows with the size of the answer.
+        # Large answers have a larger penalty for other halls.
         small, large = Penalties(other_hall=0.7), Penalties(other_hall=2.0)
         self.assertEqual(choose(servers, "suva", rng, penalties=small).name, "a")
         self.assertEqual(choose(servers, "suva", rng, penalties=large).name, "b")
@@ -108,7 +108,7 @@
         first, second = faded_load(load, age_ms), faded_load(load, age_ms + later_ms)
         self.assertLessEqual(second, first)
         self.assertTrue(0 <= first <= load)
-        self.assertEqual(faded_load(load, LOAD_FADES_MS), 0)
+        self.assertEqual(faded_load(load, LOAD_DECAY_MS), 0)
 
 
 class SubsetTest(unittest.TestCase):
