--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -130,8 +130,8 @@
         self, service: ServiceRow, known: Collection[ServerName], now_ms: int
     ) -> None:
         """Update every server's standing; drop servers that are not in the table."""
-        for gone in self._records.keys() - set(known):
-            del self._records[gone]
+        for removed in self._records.keys() - set(known):
+            del self._records[removed]
         self._update_normal_time()
         for record in self._records.values():
             self._update_standing(record, service, now_ms)
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -61,8 +61,8 @@
 
     def hear_all(self, reports: list[HeardReport], now_ms: int) -> None:
         """Record reports received by gossip."""
-        for heard in reports:
-            self.hear(heard.report, now_ms - heard.ago_ms)
+        for gossiped in reports:
+            self.hear(gossiped.report, now_ms - gossiped.ago_ms)
 
     def sample(self, count: int, now_ms: int, rng: random.Random) -> list[HeardReport]:
         """Return reports of up to `count` entries that are not gone, for gossip."""
@@ -73,8 +73,8 @@
         ]
         if len(names) > count:
             names = rng.sample(names, count)
-        heard = [self._entries[name] for name in names]
-        return [HeardReport(h.report, max(now_ms - h.heard_at_ms, 0)) for h in heard]
+        known = [self._entries[name] for name in names]
+        return [HeardReport(h.report, max(now_ms - h.heard_at_ms, 0)) for h in known]
 
     def set_listed(self, names: frozenset[EntryName] | None) -> None:
         """Set the entries on the platform's list, or None if it is unavailable."""
@@ -82,26 +82,26 @@
 
     def state_of(self, name: EntryName, now_ms: int) -> LiveState:
         """Return the state of an entry at `now_ms`."""
-        heard = self._entries.get(name)
-        if heard is None:
+        known = self._entries.get(name)
+        if known is None:
             return LiveState.GONE
-        silent_ms = now_ms - heard.heard_at_ms
+        silent_ms = now_ms - known.heard_at_ms
         if silent_ms >= self._gone_after_ms(name):
             return LiveState.GONE
         if silent_ms >= SILENT_AFTER_MS:
             return LiveState.SILENT
-        return LiveState.LEAVING if heard.report.is_leaving else LiveState.LIVE
+        return LiveState.LEAVING if known.report.is_leaving else LiveState.LIVE
 
     def entries(self) -> list[KnownEntry]:
         """Return all known entries, sorted by name."""
-        return sorted(self._entries.values(), key=lambda heard: heard.report.name)
+        return sorted(self._entries.values(), key=lambda known: known.report.name)
 
     def live(self, now_ms: int) -> list[EntryReport]:
         """Return the newest reports of the live entries, sorted by name."""
         return [
-            heard.report
-            for heard in self.entries()
-            if self.state_of(heard.report.name, now_ms) is LiveState.LIVE
+            known.report
+            for known in self.entries()
+            if self.state_of(known.report.name, now_ms) is LiveState.LIVE
         ]
 
     def lowest_table_level(self, now_ms: int) -> int | None:
@@ -111,8 +111,8 @@
         partition. Returns None if there are no entries.
         """
         levels = [
-            heard.report.table_level
-            for name, heard in self._entries.items()
+            known.report.table_level
+            for name, known in self._entries.items()
             if self.state_of(name, now_ms) is not LiveState.GONE
         ]
         return min(levels, default=None)
@@ -123,8 +123,8 @@
         Their highest revisions are kept, as they may return under the same name, until
         there are more than `MAX_KEPT_REVISIONS`.
         """
-        for name, heard in list(self._entries.items()):
-            if now_ms - heard.heard_at_ms >= FORGET_AFTER_MS:
+        for name, known in list(self._entries.items()):
+            if now_ms - known.heard_at_ms >= FORGET_AFTER_MS:
                 del self._entries[name]
         if len(self._highest_revision) > MAX_KEPT_REVISIONS:
             self._highest_revision = {
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -119,9 +119,9 @@
         found += [self.note_good(digest, now_ms) for digest in runs.good]
         return [ruling for ruling in found if ruling is not None]
 
-    def learn_all(self, told: RequestRulings, now_ms: int) -> list[Ruling]:
+    def learn_all(self, message: RequestRulings, now_ms: int) -> list[Ruling]:
         """Apply another process's rulings; return those that were newer."""
-        rulings = [line.ruling(now_ms) for line in told.lines]
+        rulings = [line.ruling(now_ms) for line in message.lines]
         return [ruling for ruling in rulings if self.learn(ruling, now_ms)]
 
     def standing_of(self, digest: RequestDigest, now_ms: int) -> Standing:
