--- a/src/cinderway/control/__init__.py
+++ b/src/cinderway/control/__init__.py
@@ -1,7 +1,8 @@
-"""The control replicas, of the table and of the catalog.
+"""The control replicas, of the service table and of the service catalog.
 
-Those of the table accept or refuse edits and hand the table out. Those of the catalog
-take route sheets and heartbeats, hand the catalog out and judge backend servers.
+Replicas of the table accept or refuse edits and serve the table. Replicas of the
+catalog receive route sheets and heartbeats, serve the catalog, and judge backend
+servers.
 """
 
 from cinderway.control._catalog_daemon import run_catalog_control
--- a/src/cinderway/control/_allowances.py
+++ b/src/cinderway/control/_allowances.py
@@ -1,9 +1,9 @@
-"""What one replica hands out of client accounts' allowances.
+"""Grants tokens of client accounts' allowances to entries, at one replica.
 
-Each voting replica has an equal share of every account's limit, so that no two of them
-have to agree before a token is handed out, whatever is cut from whom. A replica whose
-entries need more than its share borrows from the others; a loan is a lease like an
-entry's, only longer, and what is borrowed is not lent on.
+Each voting replica has an equal share of every account's limit, so that no two replicas
+have to agree before a token is granted, whatever the network partitions are. A replica
+whose entries need more than its share borrows from the others; a loan is a lease like
+an entry's, only longer, and borrowed tokens are not lent on.
 """
 
 import logging
@@ -28,8 +28,8 @@
     RouteSheet,
 )
 from cinderway.control._account_tokens import (
-    REBORROW_MS,
-    URGE_PAUSE_MS,
+    DENIED_BACKOFF_MS,
+    REBORROW_PERIOD_MS,
     AccountTokens,
     Loan,
     Standing,
@@ -40,31 +40,32 @@
 
 logger = logging.getLogger(__name__)
 
-# How long an entry may use a token, and so serves on without control. What it holds is
-# charged until a window after that, should it never be heard of again.
+# How long an entry may use a token, and so continues to serve without control. Its
+# tokens are charged until a window after that, should it never report again.
 LEASE_MS = 6_000
-# How long a replica may hand out what it has borrowed, before tokens handed out last
-# have to end within the loan.
-LOAN_USE_MS = 5_000
-# Between two looks at which accounts run short here.
-BORROW_PAUSE_S = 0.25
-# Within the time that an entry waits for its answer.
+# How long a replica may grant borrowed tokens. The loan itself lasts longer by an
+# entry's lease, so that tokens granted last still expire within the loan.
+LOAN_USABLE_MS = 5_000
+# How often it is checked which accounts run short of tokens here.
+BORROW_PERIOD_S = 0.25
+# Shorter than an entry waits for its answer.
 BORROW_TIMEOUT_S = 0.15
-# Where a replica's own entries leave less than this of its share and loans, it borrows.
-# What is lent out is no need of one's own: else all replicas borrow from each other
-# until none has a token left.
+# A replica borrows when its own entries leave less than this part of its share and
+# loans unused. Tokens it has lent do not count as a need of its own: otherwise all
+# replicas would borrow from each other until none has a token left.
 SPARE_SHARE = 0.2
-# Loans that end sooner are renewed: two looks, and one that fails.
-RENEW_MS = 2_000
-# How long a replica that did not answer is left out: entries wait for those asked.
-LOST_MS = 1_000
+# Loans that end within this time are renewed: enough for two attempts to borrow, and
+# for one that fails.
+RENEW_BEFORE_MS = 2_000
+# How long a replica that did not answer is not asked: entries wait for those asked.
+UNREACHED_BACKOFF_MS = 1_000
 # How soon an entry may ask again for an account that this replica does not know yet.
-UNKNOWN_ROOM_MS = 100
+UNKNOWN_ACCOUNT_RETRY_MS = 100
 
 
 @dataclass
 class Allowances:
-    """All accounts' tokens at one replica."""
+    """Grants, lends and borrows the tokens of all accounts at one replica."""
 
     own: Address
     machine: CatalogMachine
@@ -73,29 +74,29 @@
     standing: Callable[[], Standing]
     _accounts: dict[AccountName, AccountTokens] = field(default_factory=dict)
     _rows: dict[AccountName, AccountRow] = field(default_factory=dict)
-    _rows_of: RouteSheet | None = None
-    _unreached_at_ms: dict[Address, int] = field(default_factory=dict)
-    # Held while a replica is being asked.
-    _asking: dict[Address, anyio.Lock] = field(default_factory=dict)
+    _rows_sheet: RouteSheet | None = None
+    _last_unreached_ms: dict[Address, int] = field(default_factory=dict)
+    # Each is held while its replica is being asked.
+    _borrow_locks: dict[Address, anyio.Lock] = field(default_factory=dict)
 
     @property
     def loan_ms(self) -> int:
-        """How long a loan is charged to its lender, before the window after it."""
-        return LOAN_USE_MS + LEASE_MS
+        """How long a loan is charged at its lender, before the window after it."""
+        return LOAN_USABLE_MS + LEASE_MS
 
     def grant(
         self, holder: Hashable, asked: AskAllowances, now_ms: int
     ) -> GrantAllowances:
-        """Answer an entry, or another replica where `asked.replica` says so."""
+        """Grant tokens to an entry, or lend them to the replica in `asked.replica`."""
         lines = []
         for held in asked.lines:
-            row = self._row_of(held.account)
+            row = self._find_row(held.account)
             if row is None:
-                answer = TokenAnswer(0, UNKNOWN_ROOM_MS)
+                answer = TokenAnswer(0, UNKNOWN_ACCOUNT_RETRY_MS)
             elif asked.replica:
                 answer = self._lend(row, asked.replica, held.ask, now_ms)
             else:
-                answer = self._hand_out(row, holder, held.ask, now_ms)
+                answer = self._grant_to_entry(row, holder, held.ask, now_ms)
             lines.append(
                 GrantedAllowance(held.account, answer.granted, answer.room_in_ms)
             )
@@ -105,44 +106,45 @@
     async def complete(
         self, holder: Hashable, asked: AskAllowances, first: GrantAllowances
     ) -> GrantAllowances:
-        """Return an entry's answer, with what others lend where it got too little.
+        """Return an entry's answer, with borrowed tokens added if it got too few.
 
-        Within the allowance nobody is to be refused because of how it is shared out.
+        Within its allowance no account may be refused because of how the allowance is
+        divided between replicas.
         """
-        missing = self._missing(asked, first, monotonic_ms())
-        rows = [row for row in map(self._row_of, missing) if row is not None]
+        missing = self._find_missing(asked, first, monotonic_ms())
+        rows = [row for row in map(self._find_row, missing) if row is not None]
         if not rows:
             return first
         await self._borrow(rows, missing)
         now_ms = monotonic_ms()
         lines = [
-            self._topped_up(holder, line, missing.get(line.account, 0), now_ms)
+            self._top_up(holder, line, missing.get(line.account, 0), now_ms)
             for line in first.lines
         ]
         return GrantAllowances(lines, first.lease_ms, first.window_ms)
 
-    def _missing(
+    def _find_missing(
         self, asked: AskAllowances, answer: GrantAllowances, now_ms: int
     ) -> dict[AccountName, int]:
-        """Return how many tokens of which accounts are worth asking others for."""
-        found = {}
+        """Return how many tokens of each account to ask other replicas for."""
+        missing = {}
         if asked.replica:
-            return found
+            return missing
         for held, line in zip(asked.lines, answer.lines, strict=True):
             state = self._accounts.get(line.account)
             if held.needed <= line.granted or state is None:
                 continue
-            if now_ms - state.denied_at_ms >= URGE_PAUSE_MS:
-                found[line.account] = held.needed - line.granted
-        return found
+            if now_ms - state.denied_at_ms >= DENIED_BACKOFF_MS:
+                missing[line.account] = held.needed - line.granted
+        return missing
 
-    def _topped_up(
+    def _top_up(
         self, holder: Hashable, line: GrantedAllowance, missing: int, now_ms: int
     ) -> GrantedAllowance:
-        row = self._row_of(line.account)
+        row = self._find_row(line.account)
         if not missing or row is None:
             return line
-        state = self._state_of(row.name)
+        state = self._get_state(row.name)
         limit = self._share_of(row) + state.borrowed(now_ms)
         added = state.pool.add(holder, missing, limit, now_ms, LEASE_MS)
         if added < missing:
@@ -150,30 +152,30 @@
         return GrantedAllowance(line.account, line.granted + added, line.room_in_ms)
 
     async def run(self) -> None:
-        """Borrow what runs short until cancelled."""
+        """Borrow tokens of accounts that run short, until cancelled."""
         while True:
-            await anyio.sleep(BORROW_PAUSE_S)
+            await anyio.sleep(BORROW_PERIOD_S)
             self.forget_idle(monotonic_ms())
             await self.borrow_short()
 
     async def borrow_short(self) -> None:
-        """Ask the other replicas for what runs short here, if anything does."""
-        short = self._short(monotonic_ms())
+        """Ask the other replicas for tokens of the accounts that run short here."""
+        short = self._find_short_accounts(monotonic_ms())
         if short:
             await self._borrow(short)
 
     @property
     def accounts_in_use(self) -> int:
-        """Accounts of which tokens are held or were used lately."""
+        """The number of accounts with tokens that are held or were used recently."""
         return len(self._accounts)
 
     def uses(self, now_ms: int) -> list[AccountUse]:
-        """Return all accounts of the sheet, in its order, with their use here."""
+        """Return the use of all accounts here, in the order of the route sheet."""
         sheet = self.machine.sheet
         rows = sheet.accounts or [] if sheet is not None else []
-        return [self._use_of(row, now_ms) for row in rows]
+        return [self._build_use(row, now_ms) for row in rows]
 
-    def _use_of(self, row: AccountRow, now_ms: int) -> AccountUse:
+    def _build_use(self, row: AccountRow, now_ms: int) -> AccountUse:
         state = self._accounts.get(row.name)
         return AccountUse(
             row.name,
@@ -191,18 +193,18 @@
         state = self._accounts.get(name)
         return state.pool.charged(now_ms) if state is not None else 0
 
-    def _hand_out(
+    def _grant_to_entry(
         self, row: AccountRow, holder: Hashable, ask: TokenAsk, now_ms: int
     ) -> TokenAnswer:
-        state = self._state_of(row.name)
+        state = self._get_state(row.name)
         limit = self._share_of(row) + state.borrowed(now_ms)
         return state.pool.take(holder, ask, limit, now_ms, LEASE_MS)
 
     def _lend(
         self, row: AccountRow, replica: Address, ask: TokenAsk, now_ms: int
     ) -> TokenAnswer:
-        """Lend of the own share alone: what was borrowed ends before such a loan."""
-        state = self._state_of(row.name)
+        """Lend of the own share only: borrowed tokens expire before a new loan."""
+        state = self._get_state(row.name)
         state.borrowers.add(replica)
         pool = state.pool
         answer = pool.take(replica, ask, self._share_of(row), now_ms, self.loan_ms)
@@ -217,17 +219,17 @@
             )
         return answer
 
-    def _state_of(self, name: AccountName) -> AccountTokens:
+    def _get_state(self, name: AccountName) -> AccountTokens:
         state = self._accounts.get(name)
         if state is None:
             state = AccountTokens(AllowancePool(self.rules.window_ms))
             self._accounts[name] = state
         return state
 
-    def _row_of(self, name: AccountName) -> AccountRow | None:
+    def _find_row(self, name: AccountName) -> AccountRow | None:
         sheet = self.machine.sheet
-        if sheet is not self._rows_of:
-            self._rows_of = sheet
+        if sheet is not self._rows_sheet:
+            self._rows_sheet = sheet
             rows = sheet.accounts or [] if sheet is not None else []
             self._rows = {row.name: row for row in rows if row.is_limited}
         return self._rows.get(name)
@@ -241,7 +243,7 @@
     # Borrowing.
 
     def forget_idle(self, now_ms: int) -> None:
-        """Drop accounts of which nothing is charged here."""
+        """Remove accounts with no charged or borrowed tokens here."""
         idle = [
             name
             for name, state in self._accounts.items()
@@ -250,41 +252,43 @@
         for name in idle:
             del self._accounts[name]
 
-    def _short(self, now_ms: int) -> list[AccountRow]:
-        """Return the accounts whose entries will soon need more than is free here."""
-        rows = [self._row_of(name) for name in self._accounts]
+    def _find_short_accounts(self, now_ms: int) -> list[AccountRow]:
+        """Return the accounts that will soon need more tokens than are free here."""
+        rows = [self._find_row(name) for name in self._accounts]
         return [row for row in rows if row is not None and self._is_short(row, now_ms)]
 
     def _is_short(self, row: AccountRow, now_ms: int) -> bool:
         state = self._accounts[row.name]
-        if now_ms - state.borrowed_at_ms < REBORROW_MS:
+        if now_ms - state.borrowed_at_ms < REBORROW_PERIOD_MS:
             return False
-        # Without what loans of today will soon not allow any more.
-        lasting = self._share_of(row) + state.borrowed(now_ms + RENEW_MS)
-        return state.needed(now_ms) > lasting * (1 - SPARE_SHARE)
+        # Without the loans that expire soon.
+        lasting_tokens = self._share_of(row) + state.borrowed(now_ms + RENEW_BEFORE_MS)
+        return state.needed(now_ms) > lasting_tokens * (1 - SPARE_SHARE)
 
     async def _borrow(
         self,
         rows: list[AccountRow],
         missing: Mapping[AccountName, int] = MappingProxyType({}),
     ) -> None:
-        """Ask all other replicas, each for its part; requests wait for `missing`."""
+        """Ask each reachable replica for a part; requests wait for `missing`."""
         now_ms = monotonic_ms()
         for row in rows:
-            self._state_of(row.name).borrowed_at_ms = now_ms
+            self._get_state(row.name).borrowed_at_ms = now_ms
         lenders = [
             address
             for address in self.machine.replicas
-            if address != self.own and self._is_reached(address, now_ms)
+            if address != self.own and self._is_reachable(address, now_ms)
         ]
         async with anyio.create_task_group() as tasks:
             for lender in lenders:
                 part = {n: -(-count // len(lenders)) for n, count in missing.items()}
                 tasks.start_soon(self._borrow_from, lender, rows, part)
 
-    def _is_reached(self, replica: Address, now_ms: int) -> bool:
-        lost_at_ms = self._unreached_at_ms.get(replica)
-        return lost_at_ms is None or now_ms - lost_at_ms >= LOST_MS
+    def _is_reachable(self, replica: Address, now_ms: int) -> bool:
+        unreached_at_ms = self._last_unreached_ms.get(replica)
+        return (
+            unreached_at_ms is None or now_ms - unreached_at_ms >= UNREACHED_BACKOFF_MS
+        )
 
     async def _borrow_from(
         self,
@@ -292,12 +296,13 @@
         rows: list[AccountRow],
         missing: Mapping[AccountName, int],
     ) -> None:
-        # One ask at a time: each says what is held, and that replaces what the lender
-        # counts. Of two that overlap the lender would forget what one has brought.
-        async with self._asking.setdefault(lender, anyio.Lock()):
+        # One call per lender at a time: each states the tokens held, which replaces the
+        # lender's count. If two calls overlapped, the lender would no longer count the
+        # tokens that one of them brought.
+        async with self._borrow_locks.setdefault(lender, anyio.Lock()):
             asked_at_ms = monotonic_ms()
             lines = [
-                self._line_for(lender, row, asked_at_ms, missing.get(row.name, 0))
+                self._build_ask_line(lender, row, asked_at_ms, missing.get(row.name, 0))
                 for row in rows
             ]
             try:
@@ -305,33 +310,33 @@
                     lender, AskAllowances(lines, self.own), BORROW_TIMEOUT_S
                 )
             except CinderwayError as error:
-                self._unreached_at_ms[lender] = asked_at_ms
-                logger.debug("nothing borrowed: %s", error)
+                self._last_unreached_ms[lender] = asked_at_ms
+                logger.debug("could not borrow tokens: %s", error)
                 return
-            self._unreached_at_ms.pop(lender, None)
-            self._note_loans(lender, answer, asked_at_ms)
+            self._last_unreached_ms.pop(lender, None)
+            self._record_loans(lender, answer, asked_at_ms)
 
-    def _note_loans(self, lender: Address, answer: Message, asked_at_ms: int) -> None:
+    def _record_loans(self, lender: Address, answer: Message, asked_at_ms: int) -> None:
         if isinstance(answer, GrantAllowances):
             for line in answer.lines:
-                self._note_loan(lender, line, asked_at_ms)
+                self._record_loan(lender, line, asked_at_ms)
 
-    def _line_for(
+    def _build_ask_line(
         self, lender: Address, row: AccountRow, now_ms: int, needed: int
     ) -> HeldAllowance:
-        state = self._state_of(row.name)
+        state = self._get_state(row.name)
         loan = state.loans.get(lender, Loan())
         held = loan.tokens if now_ms < loan.usable_until_ms else 0
-        have = self._share_of(row) + state.borrowed(now_ms)
-        lacking = state.needed(now_ms) / (1 - SPARE_SHARE) - have
+        available = self._share_of(row) + state.borrowed(now_ms)
+        shortfall = state.needed(now_ms) / (1 - SPARE_SHARE) - available
         lenders = max(len(self.machine.replicas) - 1, 1)
-        more = max(math.ceil(lacking / lenders), 0)
-        return HeldAllowance(row.name, 0, held, needed, needed + more)
+        part_of_shortfall = max(math.ceil(shortfall / lenders), 0)
+        return HeldAllowance(row.name, 0, held, needed, needed + part_of_shortfall)
 
-    def _note_loan(
+    def _record_loan(
         self, lender: Address, line: GrantedAllowance, asked_at_ms: int
     ) -> None:
-        loan = self._state_of(line.account).loans.setdefault(lender, Loan())
+        loan = self._get_state(line.account).loans.setdefault(lender, Loan())
         held = loan.tokens if asked_at_ms < loan.usable_until_ms else 0
         loan.tokens = held + line.granted
-        loan.usable_until_ms = asked_at_ms + LOAN_USE_MS
+        loan.usable_until_ms = asked_at_ms + LOAN_USABLE_MS
--- a/src/cinderway/control/_catalog_daemon.py
+++ b/src/cinderway/control/_catalog_daemon.py
@@ -1,7 +1,7 @@
 """The control process that keeps the service catalog.
 
-One process holds one replica of the catalog, serves the entries that follow it and
-answers operators and backend servers by HTTP.
+One process holds one replica of the catalog, serves the entries that follow it, and
+answers operators and backend servers over HTTP.
 """
 
 import logging
@@ -34,10 +34,10 @@
 logger = logging.getLogger(__name__)
 
 GROUP = "catalog"
-# Quiet enough for a fleet that pays for each byte between halls, and still a new
-# leader within two seconds: half of what an accepted change may take to be in force.
+# Little traffic, as each byte between data halls costs money, and still a new leader
+# within two seconds: half of the time in which an accepted change must be in force.
 # Replicas that are started together listen within some tens of milliseconds, and a vote
-# takes one sync of a disk (1 to 5 ms) and a round trip (1 to 3 ms).
+# takes one disk sync (1 to 5 ms) and one round trip (1 to 3 ms).
 TIMING = Timing(
     heartbeat_ms=250,
     election_min_ms=900,
@@ -47,21 +47,22 @@
     startup_max_ms=320,
 )
 TICK_S = 0.05
-# A catalog of today's fleets takes some 15 KB, a sheet some 8 KB. A replica that joins
-# gets the log as well, so it is kept at some thirty sheets.
+# A catalog of today's fleets takes about 15 KB, a route sheet about 8 KB. A replica
+# that joins gets the log as well, so the log is limited to about thirty sheets.
 COMPACT_AT_BYTES = 256 * 1024
-# Of what an account may send beyond its allowance. The rest is for tokens that nobody
-# counts: of a replica that lost its memory, held by entries that reach no other yet.
-TOLERANCE_SHARE = 0.9
+# Part of the overshoot and slack beyond an account's allowance that replicas grant. The
+# rest covers tokens that no replica counts: those granted by a replica that has lost
+# its memory, and held by entries that reach no other replica yet.
+GRANTED_TOLERANCE_SHARE = 0.9
 
 
 async def run_catalog_control(settings: CatalogControlSettings) -> None:
-    """Run one replica until it is told to stop; leadership is handed over first."""
+    """Run one replica until it is told to stop; it transfers leadership before."""
     configure_logging(settings.log_format, settings.log_level)
     log_start(logger, "catalog control", settings.listen)
     identity = Identity(f"{GROUP}@{settings.listen}", settings.shared_key)
     machine = CatalogMachine()
-    _found_if_first(settings)
+    _bootstrap_if_first(settings)
     folder = DataFolder(settings.data_folder, GROUP, settings.listen)
     node = Node(folder, machine, _node_settings(settings), identity)
     own = AnnounceReplica(settings.listen, settings.data_hall, settings.http_listen)
@@ -85,13 +86,13 @@
             machine,
             calls,
             _allowance_rules(settings),
-            lambda: _standing(node),
+            lambda: _voting_status(node),
         ),
     )
     async with anyio.create_task_group() as tasks:
         routes = (node.route, service.route)
         await tasks.start(serve_connections, settings.listen, routes, identity)
-        watch = SettingsWatch(settings, lambda new: _use_seeds(node, new))
+        watch = SettingsWatch(settings, lambda new: _apply_seeds(node, new))
         tasks.start_soon(watch.run)
         tasks.start_soon(node.run)
         tasks.start_soon(service.run)
@@ -108,18 +109,18 @@
     logger.info("stopped")
 
 
-def _found_if_first(settings: CatalogControlSettings) -> None:
-    """Make the first seed the founder of the group, once, at the fleet's first start.
+def _bootstrap_if_first(settings: CatalogControlSettings) -> None:
+    """Bootstrap the group on the first seed, once, at the fleet's first start.
 
-    All replicas are given the same seeds then, so they agree on who founds. A replica
-    that starts with an empty disk later is told that the fleet was started before.
+    All replicas have the same seeds then, so they agree on which of them bootstraps it.
+    For a replica that starts with an empty disk later, `is_first_start` is false.
     """
     if not settings.is_first_start or settings.http_listen != settings.seeds[0]:
         return
     folder = DataFolder(settings.data_folder, GROUP, settings.listen)
     if folder.is_new:
         folder.found(b"")
-        logger.info("founded the group")
+        logger.info("bootstrapped the group")
     else:
         folder.close()
 
@@ -127,22 +128,22 @@
 def _allowance_rules(settings: CatalogControlSettings) -> AllowanceRules:
     return AllowanceRules(
         round(settings.allowance_window_s * 1000),
-        settings.allowance_overshoot_ratio * TOLERANCE_SHARE,
-        settings.allowance_slack_requests * TOLERANCE_SHARE,
+        settings.allowance_overshoot_ratio * GRANTED_TOLERANCE_SHARE,
+        settings.allowance_slack_requests * GRANTED_TOLERANCE_SHARE,
     )
 
 
-def _standing(node: Node) -> Standing:
+def _voting_status(node: Node) -> Standing:
     voters = node.core.membership.voters
     return Standing(node.core.replica_id in voters, len(voters))
 
 
-def _use_seeds(node: Node, settings: CatalogControlSettings) -> None:
-    node.peers = _peers_of(settings)
+def _apply_seeds(node: Node, settings: CatalogControlSettings) -> None:
+    node.peers = _peer_addresses(settings)
     logger.info("seeds are now %s", ", ".join(settings.seeds))
 
 
-def _peers_of(settings: CatalogControlSettings) -> tuple[Address, ...]:
+def _peer_addresses(settings: CatalogControlSettings) -> tuple[Address, ...]:
     port = settings.listen.rpartition(":")[2]
     hosts = [seed.rpartition(":")[0] for seed in settings.seeds]
     return tuple(Address(f"{host}:{port}") for host in hosts)
@@ -151,7 +152,7 @@
 def _node_settings(settings: CatalogControlSettings) -> NodeSettings:
     return NodeSettings(
         address=settings.listen,
-        peers=_peers_of(settings),
+        peers=_peer_addresses(settings),
         timing=TIMING,
         compact_at_bytes=COMPACT_AT_BYTES,
         tick_s=TICK_S,
--- a/src/cinderway/control/_catalog_http.py
+++ b/src/cinderway/control/_catalog_http.py
@@ -3,14 +3,14 @@
     PUT    /v1/sheet         replace the route sheet; 200 once it is durable
     GET    /v1/sheet         the newest sheet, by the leader only; others redirect
     PUT    /v1/servers/ID    a backend server's heartbeat
-    DELETE /v1/servers/ID    a backend server leaves for good
-    GET    /v1/servers       the registered servers and their starts, as known here
+    DELETE /v1/servers/ID    deregister a backend server for good
+    GET    /v1/servers       the registered servers and start times, as known here
     GET    /v1/accounts      client accounts and their use by this replica's entries
-    GET    /v1/refusals      requests under which servers ended, as known here
+    GET    /v1/refusals      requests ruled on after servers ended, as known here
     PUT    /v1/refusals/D    refuse the request with a digest, everywhere
-    DELETE /v1/refusals/D    let it be sent again, everywhere
+    DELETE /v1/refusals/D    allow that request again, everywhere
 
-An answer of 4xx is final; after 503 the call may be repeated here or elsewhere.
+An answer of 4xx is final; after 503 the call may be retried here or at another replica.
 """
 
 import logging
@@ -39,7 +39,7 @@
     parse_digest,
 )
 from cinderway.control._catalog_service import CatalogService
-from cinderway.control._displaced_heard import DisplacedHeard
+from cinderway.control._displaced_heard import DisplacedLiveness
 from cinderway.control._refused_heartbeats import RefusedHeartbeats
 
 logger = logging.getLogger(__name__)
@@ -49,7 +49,7 @@
 REFUSALS_PREFIX = f"{REFUSALS_PATH}/"
 SHEET_LIMIT_BYTES = 32 * 1024 * 1024
 HEARTBEAT_LIMIT_BYTES = 64 * 1024
-# Within the second that callers wait for an answer.
+# Less than the second that clients wait for an answer.
 READ_TIMEOUT_S = 0.9
 JSON = b"application/json"
 RETRY_AFTER_S = 0.3
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """An HTTP answer whose body is JSON."""
+    """An HTTP response with a JSON body."""
 
     status: int
     body: bytes = b"{}"
@@ -80,7 +80,7 @@
     """The ASGI application of one control replica."""
 
     service: CatalogService
-    heard: DisplacedHeard = field(default_factory=DisplacedHeard)
+    liveness: DisplacedLiveness = field(default_factory=DisplacedLiveness)
     refused: RefusedHeartbeats = field(default_factory=RefusedHeartbeats)
 
     async def __call__(self, scope, receive, send) -> None:
@@ -92,20 +92,20 @@
             answer = await self._answer(call, receive)
         except CinderwayError as error:
             answer = _refusal(error)
-            if self._is_news(call, answer, error):
+            if self._should_log(call, answer, error):
                 logger.info("%s %s: %d, %s", *call, answer.status, error)
         await _respond(send, answer)
 
-    def _is_news(
+    def _should_log(
         self, call: tuple[str, str], answer: Answer, error: CinderwayError
     ) -> bool:
-        """Whether a refusal is worth a line: servers repeat their calls for ever."""
+        """Whether to log a refusal; servers repeat refused calls for ever."""
         _, path = call
         if not path.startswith(SERVERS_PREFIX):
             return True
         if answer.status == UNAVAILABLE:
             return False
-        return self.refused.is_news(
+        return self.refused.record_refusal(
             ServerName(path.removeprefix(SERVERS_PREFIX)), str(error)
         )
 
@@ -122,10 +122,10 @@
             case ("GET", path) if path == REFUSALS_PATH:
                 return self._list_refusals()
             case ("PUT", path) if path.startswith(REFUSALS_PREFIX):
-                self.service.hall.poison.bar(_digest_in(path))
+                self.service.hall.poison.bar(_parse_digest_path(path))
                 return Answer(OK)
             case ("DELETE", path) if path.startswith(REFUSALS_PREFIX):
-                self.service.hall.poison.lift(_digest_in(path))
+                self.service.hall.poison.lift(_parse_digest_path(path))
                 return Answer(OK)
             case ("PUT", path) if path.startswith(SERVERS_PREFIX):
                 server_id = check_server_id(path.removeprefix(SERVERS_PREFIX))
@@ -141,7 +141,7 @@
         held = self.service.machine.sheet
         await self.service.commands.submit(InstallSheet.of(body))
         logger.info(
-            "sheet version %d acknowledged; held before: %s",
+            "sheet version %d acknowledged; previous version: %s",
             sheet.version,
             held.version if held else "none",
         )
@@ -154,7 +154,9 @@
         await node.read_barrier(READ_TIMEOUT_S)
         if self.service.machine.sheet is None:
             raise CinderwayError(
-                ErrorCode.TABLE_UNKNOWN, "no sheet was put yet", step=Step.CHECK_EDIT
+                ErrorCode.TABLE_UNKNOWN,
+                "no route sheet has been installed yet",
+                step=Step.CHECK_EDIT,
             )
         return Answer(OK, self.service.machine.sheet_body)
 
@@ -175,7 +177,7 @@
         leader = self.service.machine.replicas.get(self.service.node.leader_address)
         if leader is None:
             raise CinderwayError(
-                ErrorCode.NO_QUORUM, "no leader is known here", step=Step.PROPOSE
+                ErrorCode.NO_QUORUM, "this replica knows no leader", step=Step.PROPOSE
             )
         location = f"http://{leader.http_address}{SHEET_PATH}"
         headers = ((b"location", location.encode()),)
@@ -187,7 +189,7 @@
         registry = self.service.machine.registry
         displaced = registry.displaced_start_of(server)
         if displaced is not None:
-            if self.heard.is_alive(displaced.server_id, monotonic_ms()):
+            if self.liveness.record_heartbeat(displaced.server_id, monotonic_ms()):
                 await self.service.commands.submit(Reinstate(server))
                 _log_server(server, "reinstated")
         elif not registry.change_of(server).is_empty:
@@ -201,12 +203,14 @@
         if not self.service.machine.registry.has_left(server_id, started_at_ms):
             await self.service.commands.submit(Deregister(server_id, started_at_ms))
             logger.info(
-                "backend server %s, %s, is gone", server_id, _start_text(started_at_ms)
+                "backend server %s, %s, is deregistered",
+                server_id,
+                _format_start(started_at_ms),
             )
         return Answer(OK)
 
 
-def _digest_in(path: str) -> RequestDigest:
+def _parse_digest_path(path: str) -> RequestDigest:
     return parse_digest(path.removeprefix(REFUSALS_PREFIX))
 
 
@@ -216,20 +220,22 @@
         server.server_id,
         server.service,
         server.address,
-        _start_text(server.started_at_ms),
+        _format_start(server.started_at_ms),
         what,
     )
 
 
-def _start_text(started_at_ms: int) -> str:
-    return f"started at {started_at_ms}" if started_at_ms else "start not told"
+def _format_start(started_at_ms: int) -> str:
+    return f"started at {started_at_ms}" if started_at_ms else "start time not given"
 
 
 async def _read_body(receive, limit_bytes: int) -> bytes:
     body = await whole_body(receive, limit_bytes)
     if body is None:
         raise CinderwayError(
-            ErrorCode.PEER_UNREACHABLE, "the body was cut short", step=Step.RECEIVE
+            ErrorCode.PEER_UNREACHABLE,
+            "the request body ended early",
+            step=Step.RECEIVE,
         )
     return body
 
--- a/src/cinderway/control/_catalog_service.py
+++ b/src/cinderway/control/_catalog_service.py
@@ -1,7 +1,8 @@
-"""Serves the catalog's conversation from one control replica.
+"""Serves the catalog protocol from one control replica.
 
-Entries follow the catalog here, bring their observations and ask for retries; other
-replicas pass on commands for the leader and servers that have just failed.
+Entries follow the catalog here, send their observations and ask for retries and
+allowances; other replicas send commands for the leader and updates on servers, such as
+those that have just failed.
 """
 
 import logging
@@ -48,15 +49,15 @@
 
 logger = logging.getLogger(__name__)
 
-# Between two tries to announce this replica.
-ANNOUNCE_PAUSE_S = 0.5
-# Stands also for an unknown age; the heartbeat's field has 32 bits.
-MAXIMUM_AGE_MS = 2**31
+# Delay between two attempts to announce this replica.
+ANNOUNCE_RETRY_S = 0.5
+# Also stands for an unknown age; the heartbeat's field has 32 bits.
+MAX_AGE_MS = 2**31
 
 
 @dataclass
 class CatalogService:
-    """Hands out the catalog, and brings what entries say to the hall's service."""
+    """Serves the catalog, and passes entries' messages to the hall's service."""
 
     node: Node
     machine: CatalogMachine
@@ -68,14 +69,14 @@
 
     @property
     def route(self) -> Route:
-        """What serves the catalog's connections."""
+        """The route for connections that use the catalog protocol."""
         return Route(CATALOG, self._serve)
 
     async def run(self) -> None:
         """Run until cancelled."""
         async with anyio.create_task_group() as tasks:
             self.calls.start(tasks)
-            tasks.start_soon(self._announce)
+            tasks.start_soon(self._announce_replica)
             tasks.start_soon(self.hall.run)
             tasks.start_soon(self.allowances.run)
             store = PoisonStore(
@@ -85,31 +86,34 @@
             await self._wake_followers(store)
 
     def knowledge_age_ms(self) -> int:
-        """How old what this replica hands out may be."""
+        """Return the maximum age of the catalog that this replica serves."""
         age_ms = self.node.knowledge_age_ms(monotonic_ms())
-        return MAXIMUM_AGE_MS if age_ms is None else min(age_ms, MAXIMUM_AGE_MS)
+        return MAX_AGE_MS if age_ms is None else min(age_ms, MAX_AGE_MS)
 
     async def _serve(self, connection: Connection, name: str) -> None:
-        standing_by = anyio.CancelScope()
+        standby_scope = anyio.CancelScope()
         async with anyio.create_task_group() as tasks:
             try:
                 while True:
                     envelope = await connection.receive()
-                    if not envelope.call_id and self._hear(
+                    if not envelope.call_id and self._handle_one_way(
                         connection, envelope.message
                     ):
                         continue
                     match envelope.message:
                         case StandBy():
-                            tasks.start_soon(self._stand_by, connection, standing_by)
+                            tasks.start_soon(
+                                self._send_standby_heartbeats, connection, standby_scope
+                            )
                         case FollowCatalog() as request:
-                            standing_by.cancel()
-                            tasks.start_soon(self._feed, connection, request)
+                            standby_scope.cancel()
+                            tasks.start_soon(self._serve_follower, connection, request)
                         case ServerLoads(servers=loads):
                             self.hall.news.hear_loads(connection, loads)
                             await connection.send(Done(), envelope.call_id)
                         case AskAllowances() as asked:
-                            # In the order in which a holder spoke.
+                            # Called here and not in the task, so that a holder's
+                            # messages are processed in the order they were sent.
                             granted = self.allowances.grant(
                                 connection, asked, monotonic_ms()
                             )
@@ -125,24 +129,24 @@
                                 self._answer, connection, envelope.call_id, message
                             )
             except CinderwayError as error:
-                logger.debug("a conversation with %s ended: %s", name, error)
+                logger.debug("the connection with %s ended: %s", name, error)
                 tasks.cancel_scope.cancel()
             finally:
                 self.hall.news.forget(connection)
 
-    def _hear(self, connection: Connection, told: Message) -> bool:
-        """Take what an entry tells without waiting for an answer; False if it asks."""
-        match told:
+    def _handle_one_way(self, connection: Connection, message: Message) -> bool:
+        """Handle an entry's one-way message; return False if it is a request."""
+        match message:
             case EvidenceBatch():
-                self.hall.take_evidence(told)
+                self.hall.take_evidence(message)
             case ServerLoads(servers=loads):
                 self.hall.news.take_loads(connection, loads)
             case RequestRuns():
-                self.hall.poison.take_runs(told)
+                self.hall.poison.take_runs(message)
             case RequestRulings():
-                self.hall.poison.learn(told)
+                self.hall.poison.learn(message)
             case ServerLimits():
-                self.hall.limits.take(told)
+                self.hall.limits.take(message)
             case _:
                 return False
         return True
@@ -153,7 +157,7 @@
         try:
             await connection.send(await self._handle(message), call_id)
         except CinderwayError as error:
-            logger.debug("an answer was not sent: %s", error)
+            logger.debug("an answer could not be sent: %s", error)
             await connection.aclose()
 
     async def _answer_allowances(
@@ -167,7 +171,7 @@
         try:
             await connection.send(answer, call_id)
         except CinderwayError as error:
-            logger.debug("an answer on allowances was not sent: %s", error)
+            logger.debug("an answer on allowances could not be sent: %s", error)
             await connection.aclose()
 
     async def _handle(self, message: Message) -> Message:
@@ -207,8 +211,13 @@
             )
         return self.machine.update_since(known_revision)
 
-    async def _stand_by(self, connection: Connection, scope: anyio.CancelScope) -> None:
-        """Tell an entry that follows elsewhere how new the catalog is here."""
+    async def _send_standby_heartbeats(
+        self, connection: Connection, scope: anyio.CancelScope
+    ) -> None:
+        """Send heartbeats to an entry that follows another replica.
+
+        They tell it how recent the catalog is here.
+        """
         with scope:
             try:
                 while True:
@@ -216,10 +225,12 @@
                         await connection.send(self._heartbeat())
                     await anyio.sleep(HEARTBEAT_S)
             except (CinderwayError, TimeoutError) as error:
-                logger.debug("no longer standing by for an entry: %s", error)
+                logger.debug("no longer sending standby heartbeats: %s", error)
                 await connection.aclose()
 
-    async def _feed(self, connection: Connection, request: FollowCatalog) -> None:
+    async def _serve_follower(
+        self, connection: Connection, request: FollowCatalog
+    ) -> None:
         follower = Follower(
             request.entry,
             request.data_hall,
@@ -238,12 +249,16 @@
         if limits.lines:
             follower.tell_news([CATALOG.encode(limits)])
         logger.info(
-            "entry %s follows from revision %d", request.entry, request.known_revision
+            "entry %s follows the catalog from revision %d",
+            request.entry,
+            request.known_revision,
         )
         try:
             await follower.feed()
         except (CinderwayError, TimeoutError) as error:
-            logger.info("entry %s no longer follows: %s", request.entry, error)
+            logger.info(
+                "entry %s no longer follows the catalog: %s", request.entry, error
+            )
             await connection.aclose()
         finally:
             self.hall.followers.discard(follower)
@@ -254,24 +269,24 @@
         )
 
     async def _wake_followers(self, store: PoisonStore) -> None:
-        """Let followers look for updates whenever an entry of the log is applied.
+        """Wake all followers whenever a log entry is applied.
 
-        An entry that starts with the fleet gets its first sheet so, and with it which
-        requests are refused.
+        An entry process that starts together with the fleet gets its first route sheet
+        this way, and with it the refused requests.
         """
         while True:
             await self.node.wait_applied()
-            store.take_over()
+            store.apply_stored_rulings()
             for follower in self.hall.followers:
                 follower.wake()
 
-    async def _announce(self) -> None:
-        """Tell the fleet where this replica is, once it is a member of the group."""
+    async def _announce_replica(self) -> None:
+        """Announce this replica's addresses once it is a voter of the group."""
         while self.machine.replicas.get(self.own.address) != self.own:
-            await anyio.sleep(ANNOUNCE_PAUSE_S)
+            await anyio.sleep(ANNOUNCE_RETRY_S)
             if self.node.core.replica_id not in self.node.core.membership.voters:
                 continue
             try:
                 await self.commands.submit(self.own)
             except CinderwayError as error:
-                logger.debug("not announced yet: %s", error)
+                logger.debug("this replica is not announced yet: %s", error)
--- a/src/cinderway/control/_commands.py
+++ b/src/cinderway/control/_commands.py
@@ -1,4 +1,4 @@
-"""Bring commands for the catalog to the leader, and call other replicas."""
+"""Submits commands for the catalog to the leader, and calls other replicas."""
 
 from dataclasses import dataclass, field
 
@@ -16,30 +16,31 @@
 from cinderway.replication import Node
 from cinderway.wire import Failure, Identity, Message, RpcClient
 
-# An operator's or server's call waits a second for its answer; then it goes elsewhere.
+# Operators and servers wait for an answer for a second, then call another replica.
 PROPOSE_TIMEOUT_S = 2.5
 
 
-def may_take_commands(voters: int, least_voters: int, has_sheet: bool) -> bool:
+def can_accept_commands(voters: int, min_voters: int, has_sheet: bool) -> bool:
     """Whether a group may acknowledge changes.
 
-    While it forms, only once enough replicas vote: with fewer, losing as many disks as
-    the fleet is to bear could lose what is acknowledged. Later, fewer vote only while a
-    lost disk is being replaced, and that one counts among those to bear.
+    Until the group has its first route sheet, only once enough replicas are voters:
+    with fewer, losing as many disks as the group must tolerate could lose acknowledged
+    changes. Later there are fewer voters only while a lost disk is being replaced, and
+    that disk counts among the tolerated losses.
     """
-    return has_sheet or voters >= least_voters
+    return has_sheet or voters >= min_voters
 
 
 @dataclass
 class ReplicaCalls:
-    """Calls to other replicas, over one connection to each that stays open."""
+    """Calls other replicas, over one persistent connection to each."""
 
     identity: Identity
     _clients: dict[Address, RpcClient] = field(default_factory=dict)
     _tasks: anyio.abc.TaskGroup | None = None
 
     def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Take the task group that connections are kept in; before the first call."""
+        """Set the task group that connections run in; call it before the first call."""
         self._tasks = tasks
 
     async def call(
@@ -59,15 +60,15 @@
 
 @dataclass
 class Commands:
-    """Commands of operators, servers and replicas that change the catalog."""
+    """Replicates commands of operators, servers and replicas for the catalog."""
 
     node: Node
     machine: CatalogMachine
     calls: ReplicaCalls
-    least_voters: int
+    min_voters: int
 
     async def submit(self, command: Command) -> None:
-        """Replicate a command, here or by the leader; return once it is committed.
+        """Replicate a command, here or through the leader; return once it is committed.
 
         Raises CinderwayError; with any code but NOT_LEADER and GROUP_TOO_SMALL the
         command may still take effect.
@@ -79,19 +80,19 @@
         leader = self.node.leader_address
         if leader is None:
             raise CinderwayError(
-                ErrorCode.NO_QUORUM, "no leader is known here", step=Step.PROPOSE
+                ErrorCode.NO_QUORUM, "this replica knows no leader", step=Step.PROPOSE
             )
         answer = await self.calls.call(leader, SubmitCommand(data), PROPOSE_TIMEOUT_S)
         if isinstance(answer, Failure):
             raise answer.error(leader)
 
     async def propose(self, data: bytes) -> None:
-        """Replicate an encoded command, on the leader alone."""
+        """Replicate an encoded command; only the leader can."""
         voters = len(self.node.core.membership.voters)
-        if not may_take_commands(voters, self.least_voters, self.machine.has_sheet):
+        if not can_accept_commands(voters, self.min_voters, self.machine.has_sheet):
             raise CinderwayError(
                 ErrorCode.GROUP_TOO_SMALL,
-                f"{voters} voters; {self.least_voters} are needed",
+                f"the group has {voters} voters; {self.min_voters} are needed",
                 step=Step.PROPOSE,
             )
         await self.node.propose(data, PROPOSE_TIMEOUT_S)
--- a/src/cinderway/control/_daemon.py
+++ b/src/cinderway/control/_daemon.py
@@ -25,6 +25,6 @@
 
 
 def found_control(data_folder: Path, address: Address, first_revision: int) -> None:
-    """Make a data folder the first replica of a new control group."""
+    """Initialize a data folder as the first replica of a new control group."""
     folder = DataFolder(data_folder, GROUP, address)
     folder.found(founding_state(first_revision))
--- a/src/cinderway/control/_displaced_heard.py
+++ b/src/cinderway/control/_displaced_heard.py
@@ -1,32 +1,39 @@
-"""Tell a displaced server that lives from late heartbeats of one that does not. Pure.
+"""Detects whether a displaced server is alive. Does no I/O.
 
-What a cut held up arrives in one burst when it ends; who lives is heard again and
-again.
+A server is displaced when another server registers at its address; that other one may
+have stopped before and only its heartbeat arrived late. Heartbeats that a network
+partition held up arrive in one burst when it heals and do not show that their sender is
+still alive; a live server keeps sending them.
 """
 
 from dataclasses import dataclass, field
 
 from cinderway._ids import ServerName
 
-# More than one heartbeat's interval (1.5 s), so that at least three must have come.
+# Longer than one heartbeat interval (1.5 s), so that at least three heartbeats must
+# have arrived.
 ALIVE_AFTER_MS = 2_000
-# Heartbeats further apart than this are no row: the platform's come every 1.5 s.
-ROW_ENDS_AFTER_MS = 5_000
+# A longer gap between heartbeats starts a new streak: the platform sends one every
+# 1.5 s.
+MAX_HEARTBEAT_GAP_MS = 5_000
 
 
 @dataclass
-class DisplacedHeard:
-    """Since when each displaced server is heard in a row, and when it was last."""
+class DisplacedLiveness:
+    """Tracks the streak of heartbeats of each displaced server.
 
-    _rows: dict[ServerName, tuple[int, int]] = field(default_factory=dict)
+    A streak is the times of its first and of its last heartbeat.
+    """
 
-    def is_alive(self, server: ServerName, now_ms: int) -> bool:
-        """Note a heartbeat; whether the server is heard for long enough."""
-        self._rows = {
-            name: row
-            for name, row in self._rows.items()
-            if now_ms - row[1] < ROW_ENDS_AFTER_MS
+    _streaks: dict[ServerName, tuple[int, int]] = field(default_factory=dict)
+
+    def record_heartbeat(self, server: ServerName, now_ms: int) -> bool:
+        """Record a heartbeat; return whether the server has proved to be alive."""
+        self._streaks = {
+            name: streak
+            for name, streak in self._streaks.items()
+            if now_ms - streak[1] < MAX_HEARTBEAT_GAP_MS
         }
-        since_ms, _ = self._rows.get(server, (now_ms, now_ms))
-        self._rows[server] = (since_ms, now_ms)
-        return now_ms - since_ms >= ALIVE_AFTER_MS
+        streak_start_ms, _ = self._streaks.get(server, (now_ms, now_ms))
+        self._streaks[server] = (streak_start_ms, now_ms)
+        return now_ms - streak_start_ms >= ALIVE_AFTER_MS
--- a/src/cinderway/control/_entry_groups.py
+++ b/src/cinderway/control/_entry_groups.py
@@ -1,8 +1,8 @@
-"""Tell the entries that follow one replica of each other.
+"""Sends the entries that follow one replica the list of all of them.
 
-By this they divide the rates that servers name. An entry that is gone keeps its part
-for a while: if it was only cut off it goes on by what it knew, and if it is back soon
-nobody else's part has changed.
+Entries divide the rate limits that servers announce by this list. An entry that has
+disconnected stays on it for a while: if it was only partitioned it keeps using the part
+that it knew of, and if it returns soon nobody else's part has changed.
 """
 
 from collections.abc import Callable
@@ -16,49 +16,54 @@
 from cinderway.control._follower import Follower
 from cinderway.pushback import FleetEntries
 
-# Between two looks whether something has changed: many entries come at one moment.
-LOOK_PAUSE_S = 1.0
-# A replica that has just started waits for the entries that followed it before: by a
-# list without them each server's rate would be divided among too few.
-SETTLE_S = 3.0
-# A part is not given to another for so long. Most cuts are over by then.
-KEPT_MS = 15_000
+# How often the list is checked for changes; many entries connect at the same moment.
+CHECK_PERIOD_S = 1.0
+# A replica that has just started waits for the entries that followed it before: with a
+# list that lacks them each server's rate would be divided among too few.
+STARTUP_DELAY_S = 3.0
+# How long an entry that has disconnected stays on the list. Most network partitions
+# are over by then.
+RETENTION_MS = 15_000
 
 
 @dataclass
 class EntryGroups:
-    """The entries of one replica, as they are told."""
+    """Tracks the entries of one replica and sends the list when it changes."""
 
     own_address: Address
     machine: CatalogMachine
     followers: Callable[[], set[Follower]]
-    _seen_at_ms: dict[EntryName, int] = field(default_factory=dict)
-    _told: FleetEntries | None = None
-    _told_to: set[Follower] = field(default_factory=set)
+    _last_seen_ms: dict[EntryName, int] = field(default_factory=dict)
+    _last_sent: FleetEntries | None = None
+    _sent_to: set[Follower] = field(default_factory=set)
 
     async def run(self) -> None:
-        """Tell entries of each other until cancelled."""
-        await anyio.sleep(SETTLE_S)
+        """Send the list whenever it changes, until cancelled."""
+        await anyio.sleep(STARTUP_DELAY_S)
         while True:
-            self._look(monotonic_ms())
-            await anyio.sleep(LOOK_PAUSE_S)
+            self._send_changes(monotonic_ms())
+            await anyio.sleep(CHECK_PERIOD_S)
 
-    def _look(self, now_ms: int) -> None:
+    def _send_changes(self, now_ms: int) -> None:
         followers = self.followers()
-        found = self._entries(followers, now_ms)
-        untold = followers - self._told_to if found == self._told else followers
-        self._told, self._told_to = found, set(followers)
-        if not untold:
+        current = self._build_list(followers, now_ms)
+        recipients = (
+            followers - self._sent_to if current == self._last_sent else followers
+        )
+        self._last_sent, self._sent_to = current, set(followers)
+        if not recipients:
             return
-        frame = CATALOG.encode(found)
-        for follower in untold:
+        frame = CATALOG.encode(current)
+        for follower in recipients:
             follower.tell_news([frame])
 
-    def _entries(self, followers: set[Follower], now_ms: int) -> FleetEntries:
+    def _build_list(self, followers: set[Follower], now_ms: int) -> FleetEntries:
         for follower in followers:
-            self._seen_at_ms[follower.entry] = now_ms
-        began_ms = now_ms - KEPT_MS
-        kept = {name: at for name, at in self._seen_at_ms.items() if at > began_ms}
-        self._seen_at_ms = kept
+            self._last_seen_ms[follower.entry] = now_ms
+        cutoff_ms = now_ms - RETENTION_MS
+        retained = {
+            name: at for name, at in self._last_seen_ms.items() if at > cutoff_ms
+        }
+        self._last_seen_ms = retained
         replicas = {self.own_address, *self.machine.replicas}
-        return FleetEntries(self.own_address, sorted(replicas), sorted(kept))
+        return FleetEntries(self.own_address, sorted(replicas), sorted(retained))
--- a/src/cinderway/control/_follower.py
+++ b/src/cinderway/control/_follower.py
@@ -1,8 +1,8 @@
-"""Feed one entry that follows the catalog at this replica.
+"""Sends one entry that follows the catalog at this replica what is new.
 
-The entry is sent catalog updates, news of servers and verdicts as they come up, and a
-heartbeat also when there is nothing else to send. What all entries are told alike comes
-here encoded: once for all of them.
+The entry is sent catalog updates, updates on servers and verdicts as they come up, and
+a heartbeat even if there is nothing else to send. Messages that are the same for all
+entries arrive here encoded, so that they are encoded only once.
 """
 
 import math
@@ -17,17 +17,17 @@
 from cinderway.catalog import CatalogHeartbeat, CatalogMachine, HallEntries
 from cinderway.wire import Connection, Message
 
-# Entries change replica after three of these without a sign.
+# An entry that misses three heartbeats changes to another replica.
 HEARTBEAT_S = 0.5
 SEND_TIMEOUT_S = 1.0
-# Changes of this time are sent together. Servers register one by one, and an entry
-# rebuilds what it knows with each update.
-UPDATE_PAUSE_MS = 50
+# Changes within this time are sent together. Servers register one by one, and an entry
+# rebuilds its state at each update.
+UPDATE_PERIOD_MS = 50
 
 
 @dataclass(eq=False)
 class Follower:
-    """One entry that follows the catalog here, and what it is still to be sent."""
+    """One entry that follows the catalog here, and what is queued for it."""
 
     entry: EntryName
     data_hall: DataHall
@@ -35,51 +35,52 @@
     connection: Connection
     machine: CatalogMachine
     heartbeat: Callable[[], CatalogHeartbeat]
-    # Whether the machine holds all that was acknowledged; until then nothing is shown.
+    # Whether the state machine has applied all acknowledged changes; until then no
+    # catalog is sent.
     has_caught_up: Callable[[], bool]
     peers_address: Address = Address("")
     _hall_entries: HallEntries | None = None
     _verdicts: bytes | None = None
     _sent_verdicts: bytes | None = None
-    # Frames in the order in which they were told.
-    _news_frames: list[bytes] = field(default_factory=list)
+    # Encoded messages in the order in which they were queued.
+    _queued_frames: list[bytes] = field(default_factory=list)
     _is_heartbeat_due: bool = False
-    _update_after_ms: int = 0
-    _is_update_put_off: bool = False
-    _news: anyio.Event = field(default_factory=anyio.Event)
-    _sending: anyio.CancelScope | None = None
+    _next_update_at_ms: int = 0
+    _is_update_deferred: bool = False
+    _wake_event: anyio.Event = field(default_factory=anyio.Event)
+    _send_scope: anyio.CancelScope | None = None
 
     def wake(self) -> None:
-        """Look at once for what is new."""
-        self._news.set()
+        """Wake the send loop to check for something to send."""
+        self._wake_event.set()
 
     def tell_news(self, frames: list[bytes]) -> None:
-        """Send these encoded messages after all that were told before."""
+        """Queue encoded messages behind those queued before."""
         if frames:
-            self._news_frames += frames
+            self._queued_frames += frames
             self.wake()
 
     def tell_hall_entries(self, entries: HallEntries) -> None:
-        """Send where the hall's entries hear each other."""
+        """Queue the addresses at which the hall's entries listen to each other."""
         self._hall_entries = entries
         self.wake()
 
     def tell_verdicts(self, frame: bytes) -> None:
-        """Send this encoded batch in place of earlier verdicts, if it differs."""
+        """Queue an encoded batch of verdicts if it differs from the last one."""
         if frame != self._verdicts:
             self._verdicts = frame
             self.wake()
 
     async def feed(self) -> None:
-        """Send what is due until cancelled.
+        """Send what is queued until cancelled.
 
-        Raises CinderwayError or TimeoutError when the entry does not take a message.
+        Raises CinderwayError or TimeoutError if the entry does not accept a message.
         """
         failure: Exception | None = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._beat)
+            tasks.start_soon(self._schedule_heartbeats)
             try:
-                await self._send_what_is_due(tasks)
+                await self._run_send_loop(tasks)
             except (CinderwayError, TimeoutError) as error:
                 failure = error
             tasks.cancel_scope.cancel()
@@ -87,44 +88,45 @@
         if failure is not None:
             raise failure
 
-    async def _beat(self) -> None:
+    async def _schedule_heartbeats(self) -> None:
         while True:
             self._is_heartbeat_due = True
             self.wake()
             await anyio.sleep(HEARTBEAT_S)
 
-    async def _send_what_is_due(self, tasks: anyio.abc.TaskGroup) -> None:
-        # One scope whose deadline moves: with one for each wait and each send, scopes
-        # took a third of the time that a telling takes.
-        with anyio.fail_after(None) as self._sending:
+    async def _run_send_loop(self, tasks: anyio.abc.TaskGroup) -> None:
+        # One cancel scope whose deadline moves: with one for each wait and each send,
+        # scopes took a third of the time of sending a batch.
+        with anyio.fail_after(None) as self._send_scope:
             while True:
-                # Renewed before anything is looked at, so that no news is missed.
-                self._news = anyio.Event()
+                # Replaced before anything is checked, so that no wake-up is lost.
+                self._wake_event = anyio.Event()
                 await self._send_update(tasks)
                 await self._send_hall_entries()
-                await self._send_frames(self._take_frames())
+                await self._send_frames(self._pop_frames())
                 await self._send_heartbeat()
-                await self._news.wait()
+                await self._wake_event.wait()
 
     async def _send_update(self, tasks: anyio.abc.TaskGroup) -> None:
         if not self.has_caught_up() or self.machine.revision <= self.known_revision:
             return
-        left_ms = self._update_after_ms - monotonic_ms()
-        if left_ms > 0:
-            if not self._is_update_put_off:
-                self._is_update_put_off = True
-                tasks.start_soon(self._update_in, left_ms)
+        remaining_ms = self._next_update_at_ms - monotonic_ms()
+        if remaining_ms > 0:
+            if not self._is_update_deferred:
+                self._is_update_deferred = True
+                tasks.start_soon(self._resume_update_after, remaining_ms)
             return
         update = self.machine.update_since(self.known_revision)
         await self._send(update)
         self.known_revision = update.revision
-        # The entry learns at once how old that may be, and not half a second later.
+        # So that the entry learns at once how old the update may be, and not only with
+        # the next heartbeat, half a second later.
         self._is_heartbeat_due = True
-        self._update_after_ms = monotonic_ms() + UPDATE_PAUSE_MS
+        self._next_update_at_ms = monotonic_ms() + UPDATE_PERIOD_MS
 
-    async def _update_in(self, pause_ms: int) -> None:
-        await anyio.sleep(pause_ms / 1000)
-        self._is_update_put_off = False
+    async def _resume_update_after(self, delay_ms: int) -> None:
+        await anyio.sleep(delay_ms / 1000)
+        self._is_update_deferred = False
         self.wake()
 
     async def _send_hall_entries(self) -> None:
@@ -132,9 +134,9 @@
             entries, self._hall_entries = self._hall_entries, None
             await self._send(entries)
 
-    def _take_frames(self) -> list[bytes]:
-        """Return what was told and not sent yet."""
-        frames, self._news_frames = self._news_frames, []
+    def _pop_frames(self) -> list[bytes]:
+        """Return the queued frames and clear the queue."""
+        frames, self._queued_frames = self._queued_frames, []
         if self._verdicts != self._sent_verdicts:
             self._sent_verdicts = self._verdicts
             frames.append(self._sent_verdicts)
@@ -146,13 +148,13 @@
             await self._send(self.heartbeat())
 
     async def _send(self, message: Message) -> None:
-        self._sending.deadline = anyio.current_time() + SEND_TIMEOUT_S
+        self._send_scope.deadline = anyio.current_time() + SEND_TIMEOUT_S
         await self.connection.send(message)
-        self._sending.deadline = math.inf
+        self._send_scope.deadline = math.inf
 
     async def _send_frames(self, frames: list[bytes]) -> None:
         if not frames:
             return
-        self._sending.deadline = anyio.current_time() + SEND_TIMEOUT_S
+        self._send_scope.deadline = anyio.current_time() + SEND_TIMEOUT_S
         await self.connection.send_encoded(frames)
-        self._sending.deadline = math.inf
+        self._send_scope.deadline = math.inf
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -1,8 +1,8 @@
-"""Judge backend servers from the observations of the entries that follow here.
+"""Judges backend servers by the observations of the entries that follow here.
 
-Entries follow a replica of their own data hall where there is one, so what is judged
-here is how servers look from this hall, and evidence stays in it. Pure: time is
-passed in.
+Entries follow a replica of their own data hall if there is one, so servers are judged
+as they are seen from this hall, and evidence does not leave it. Does no I/O; the time
+is passed in.
 """
 
 import logging
@@ -38,13 +38,13 @@
 
 logger = logging.getLogger(__name__)
 
-# A verdict changes with time too: ejections end, shares grow.
-REVIEW_MS = 500
-# Factor by which one of a service's times must move before entries are told anew.
-PACE_STEP = 1.25
-# Long enough for a server to fill its caches, short beside a failure's cost.
+# Verdicts also change with time alone: ejections end, shares grow.
+REVIEW_PERIOD_MS = 500
+# Factor by which a response time of a service must change before it is sent again.
+PACE_CHANGE_FACTOR = 1.25
+# Long enough for a server to fill its caches, short compared with a failure's cost.
 SLOW_START_MS = 2_000
-# The reason of a verdict that only takes weight away.
+# The reason in a verdict that only reduces a server's weight.
 SLOW = "slow"
 
 _evidence_decoder = msgspec.msgpack.Decoder(list[ServerEvidence])
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class JudgementRules:
-    """What holds for all services: how sure to be, and how much to leave."""
+    """Rules for all services: the bias of verdicts, and the capacity to keep."""
 
     bias: Bias
     floor_percent: int
 
 
 class HallAssessor:
-    """One replica's judgement of the servers that its entries use."""
+    """Judges the servers that the entries of one replica use."""
 
     def __init__(self, rules: JudgementRules):
         self._rules = rules
@@ -67,15 +67,15 @@
         self._halls: dict[EntryName, DataHall] = {}
         self._has_evidence = False
         self._decided_at_ms = 0
-        self._times: dict[ServiceName, AnswerTimes] = {}
-        self._said_paces: dict[ServiceName, ServicePace] = {}
+        self._response_times: dict[ServiceName, AnswerTimes] = {}
+        self._sent_paces: dict[ServiceName, ServicePace] = {}
         self._ejected: set[ServerName] = set()
         self._slow: set[ServerName] = set()
         self._suspicions = Suspicions()
         self._new_suspects: dict[ServerName, int] = {}
 
-    def take(self, batch: EvidenceBatch, now_ms: int) -> None:
-        """Take one entry's observations."""
+    def record_evidence(self, batch: EvidenceBatch, now_ms: int) -> None:
+        """Record one entry's observations."""
         for evidence in _evidence_decoder.decode(batch.servers):
             judge = self._judges.setdefault(evidence.service, ServiceJudge())
             judge.hear(batch.entry, batch.data_hall, now_ms)
@@ -83,11 +83,13 @@
                 batch.entry,
                 batch.data_hall,
                 evidence,
-                self._row(evidence.service),
+                self._service_row(evidence.service),
                 now_ms,
             )
-            times = self._times.setdefault(evidence.service, AnswerTimes(now_ms))
-            times.add(evidence.answer_times_ms, now_ms)
+            times = self._response_times.setdefault(
+                evidence.service, AnswerTimes(now_ms)
+            )
+            times.record(evidence.answer_times_ms, now_ms)
             self._update_suspicion(evidence, now_ms)
         self._has_evidence = True
 
@@ -104,27 +106,27 @@
             self._new_suspects[server] = now_ms
 
     def new_suspects(self, now_ms: int) -> SuspectServers | None:
-        """Return what changed of suspicions since the last call, if anything.
+        """Return the suspicions that changed since the last call; None if none did.
 
-        A server that is suspect no longer is told with no time left.
+        A server that is no longer suspect is listed with no time left.
         """
         found, self._new_suspects = self._new_suspects, {}
         self._suspicions.forget_old(now_ms)
         if not found:
             return None
-        left_ms = [max(until_ms - now_ms, 0) for until_ms in found.values()]
-        return SuspectServers(list(found), left_ms)
+        remaining_ms = [max(until_ms - now_ms, 0) for until_ms in found.values()]
+        return SuspectServers(list(found), remaining_ms)
 
-    def has_news(self, now_ms: int) -> bool:
-        """Whether deciding again could change anything."""
+    def is_review_due(self, now_ms: int) -> bool:
+        """Whether the verdicts may have changed since they were last decided."""
         if not self._judges:
             return False
-        return self._has_evidence or now_ms - self._decided_at_ms >= REVIEW_MS
+        return self._has_evidence or now_ms - self._decided_at_ms >= REVIEW_PERIOD_MS
 
     def decide(
         self, catalog: CatalogMachine, now_ms: int
     ) -> dict[DataHall, VerdictBatch]:
-        """Return what to tell the entries of each hall."""
+        """Return the verdicts for the entries of each hall."""
         self._has_evidence = False
         self._decided_at_ms = now_ms
         halls = {r.data_hall for r in catalog.replicas.values()}
@@ -132,7 +134,7 @@
         self._slow &= catalog.registry.servers.keys()
         for service, judge in self._judges.items():
             self._decide_service(catalog, service, judge, lines, now_ms)
-        paces = self._paces_to_tell()
+        paces = self._update_paces()
         return {
             hall: VerdictBatch(lines_of_hall, paces)
             for hall, lines_of_hall in lines.items()
@@ -146,45 +148,47 @@
         lines: dict[DataHall, list[VerdictLine]],
         now_ms: int,
     ) -> None:
-        """Add what is to be said of one service's servers to each hall's lines."""
-        row = self._row(service)
+        """Add the verdicts on one service's servers to the lines of each hall."""
+        row = self._service_row(service)
         servers = _servers_of(catalog, service)
         judge.decide(row, servers.keys(), now_ms)
         records = judge.records()
         suspected = [r for r in records if r.standing is not Standing.HEALTHY]
         healthy = [r for r in records if r.standing is Standing.HEALTHY]
-        permitted = _permitted(row, servers, suspected)
+        permitted = _permitted_ejections(row, servers, suspected)
         for record in suspected:
             is_ejected = record.name in permitted
-            self._note_ejection(service, record, is_ejected)
+            self._log_ejection_change(service, record, is_ejected)
             share = judge.share(record, row, now_ms)
-            line = _line_of(service, record, is_ejected, share)
+            line = _build_line(service, record, is_ejected, share)
             _add_line(lines, line, record.halls)
         for record in healthy:
-            self._note_ejection(service, record, is_ejected=False)
+            self._log_ejection_change(service, record, is_ejected=False)
             share = judge.pace_share(record, now_ms)
-            self._note_pace(service, record, share)
+            self._log_pace_change(service, record, share)
             if share < 1:
                 line = VerdictLine(service, record.name, False, share, SLOW, 0.0)
                 _add_line(lines, line, halls=())
 
-    def _note_pace(
+    def _log_pace_change(
         self, service: ServiceName, record: ServerRecord, share: float
     ) -> None:
-        """Log when a server turns slow and when it is no longer."""
+        """Log when a server becomes slow and when it has recovered."""
         server = record.name
         was_slow = server in self._slow
         if share < 1 and not was_slow:
             self._slow.add(server)
-            logger.info("slow %s/%s: share %.2f", service, server, share)
+            logger.info(
+                "server %s/%s is slow: weight share %.2f", service, server, share
+            )
         elif share == 1 and was_slow:
             self._slow.remove(server)
-            logger.info("no longer slow %s/%s", service, server)
+            logger.info("server %s/%s is no longer slow", service, server)
 
-    def _note_ejection(
+    def _log_ejection_change(
         self, service: ServiceName, record: ServerRecord, is_ejected: bool
     ) -> None:
-        """Log an ejection when it begins and when it ends."""
+        """Log when an ejection begins and when it ends."""
         server = record.name
         was_ejected = server in self._ejected
         if is_ejected and not was_ejected:
@@ -198,21 +202,23 @@
             )
         elif was_ejected and not is_ejected:
             self._ejected.remove(server)
-            logger.info("took back %s/%s", service, server)
+            logger.info("ejection of %s/%s ended", service, server)
 
-    def _paces_to_tell(self) -> list[ServicePace]:
-        """How long services take, told anew only when that moves by a good part."""
-        for service, times in self._times.items():
-            found = times.quantiles()
-            if found is None:
+    def _update_paces(self) -> list[ServicePace]:
+        """Return the response times of all services, updated only on a large change."""
+        for service, times in self._response_times.items():
+            quantiles = times.quantiles()
+            if quantiles is None:
                 continue
-            pace = ServicePace(service, found.usual_ms, found.slow_ms, found.late_ms)
-            said = self._said_paces.get(service)
-            if said is None or _has_moved(said, pace):
-                self._said_paces[service] = pace
-        return [self._said_paces[service] for service in sorted(self._said_paces)]
+            pace = ServicePace(
+                service, quantiles.p50_ms, quantiles.p90_ms, quantiles.p95_ms
+            )
+            sent = self._sent_paces.get(service)
+            if sent is None or _has_changed(sent, pace):
+                self._sent_paces[service] = pace
+        return [self._sent_paces[service] for service in sorted(self._sent_paces)]
 
-    def _row(self, service: ServiceName) -> ServiceRow:
+    def _service_row(self, service: ServiceName) -> ServiceRow:
         return ServiceRow(
             name=service,
             bias=self._rules.bias,
@@ -221,13 +227,13 @@
         )
 
 
-def _has_moved(said: ServicePace, pace: ServicePace) -> bool:
+def _has_changed(sent: ServicePace, pace: ServicePace) -> bool:
     return any(
-        now_ms > said_ms * PACE_STEP or now_ms < said_ms / PACE_STEP
-        for said_ms, now_ms in (
-            (said.usual_ms, pace.usual_ms),
-            (said.slow_ms, pace.slow_ms),
-            (said.late_ms, pace.late_ms),
+        new_ms > sent_ms * PACE_CHANGE_FACTOR or new_ms < sent_ms / PACE_CHANGE_FACTOR
+        for sent_ms, new_ms in (
+            (sent.usual_ms, pace.usual_ms),
+            (sent.slow_ms, pace.slow_ms),
+            (sent.late_ms, pace.late_ms),
         )
     )
 
@@ -242,12 +248,12 @@
     }
 
 
-def _permitted(
+def _permitted_ejections(
     row: ServiceRow,
     servers: dict[ServerName, RegisteredServer],
     suspected: list[ServerRecord],
 ) -> Collection[ServerName]:
-    """Return the servers to eject that the service's floor leaves room for."""
+    """Return the servers that may be ejected without falling below the floor."""
     condemned = {r.name: r.score for r in suspected if is_out(r.standing)}
     capacities = [
         Capacity(
@@ -263,7 +269,7 @@
     return permitted_ejections(capacities, floor_slots_of(row, slots))
 
 
-def _line_of(
+def _build_line(
     service: ServiceName, record: ServerRecord, is_ejected: bool, share: float
 ) -> VerdictLine:
     return VerdictLine(
@@ -281,7 +287,7 @@
     line: VerdictLine,
     halls: Collection[DataHall],
 ) -> None:
-    """Add a line for some halls; for all of them if none is named."""
+    """Add a line for the given halls; for all halls if none is given."""
     for hall in halls or lines:
         if hall in lines:
             lines[hall].append(line)
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_news.py
@@ -1,8 +1,8 @@
-"""What a replica passes on of servers: suspects to all, loads within its hall.
+"""Distributes the state of servers: suspects to all halls, loads within the own hall.
 
-News is gathered for a moment and told to all entries in one go, encoded once. How often
-that happens depends on how many entries listen, so that what a replica spends on news
-does not grow with the fleet.
+Updates are batched for a moment and sent to all entries at once, encoded once. The time
+between batches grows with the number of entries that follow, so that the cost of
+sending updates does not grow with the fleet.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -24,174 +24,186 @@
 )
 from cinderway.control._commands import ReplicaCalls
 from cinderway.control._follower import Follower
-from cinderway.control._in_flight import InFlight
-from cinderway.control._tellings import Tellings
+from cinderway.control._in_flight import InFlightCounts
+from cinderway.control._tellings import BestEffortSender
 from cinderway.judgement import FADES_MS
 
-# A suspicion fades from its first moment on; told much later it is worth little.
-TELL_TIMEOUT_S = 0.3
-# News of this time is told together: well below the time of a request.
-NEWS_PAUSE_S = 0.02
-# Times that entries are told news in a second, all of them together: it bounds what a
-# replica spends on that, however many entries follow.
-TELLINGS_PER_S = 1_200
-# The same where a server has just failed a request of the own hall: until the others
-# know, they send it more.
-URGENT_TELLINGS_PER_S = 3_000
-# Requests cross halls where the own one has no server left to choose; what other halls
-# have under way at theirs is told at this pause. Sooner would cost more messages
+# A suspicion decays from its first moment on; sent much later it is worth little.
+REPLICA_SEND_TIMEOUT_S = 0.3
+# Updates within this time are sent together: well below the duration of a request.
+MIN_BATCH_PERIOD_S = 0.02
+# Batches sent per second, summed over all entries: it bounds the cost of sending,
+# however many entries follow.
+MAX_SENDS_PER_S = 1_200
+# The same when a server has just failed a request of the own hall: until the other
+# entries know, they send it more.
+MAX_URGENT_SENDS_PER_S = 3_000
+# Requests cross halls when the own hall has no eligible server left. The requests in
+# flight are sent to other halls at this period; a shorter one would cost more messages
 # between halls than it saves requests.
 AFAR_PAUSE_S = 0.25
-# Between two looks whether the hall's entries have changed: many come at one moment.
-HALL_ENTRIES_PAUSE_S = 1.0
+# How often the hall's entries are checked for changes; many connect at the same moment.
+HALL_ENTRIES_PERIOD_S = 1.0
 
 
 @dataclass
-class HallNews:
-    """Tells the entries that follow here, and other replicas, what entries saw."""
+class HallGossip:
+    """Sends entries' observations to entries that follow here and other replicas."""
 
     own: AnnounceReplica
     machine: CatalogMachine
     calls: ReplicaCalls
     followers: set[Follower] = field(default_factory=set)
-    # Of the own hall's entries, and what other replicas told.
-    _seen: "_News" = field(default_factory=lambda: _News())
-    _heard: "_News" = field(default_factory=lambda: _News())
-    # What is under way at servers, by the entries that follow here and by what other
-    # replicas tell of theirs.
-    _entries_in_flight: InFlight = field(default_factory=InFlight)
-    _replicas_in_flight: InFlight = field(default_factory=InFlight)
-    _untold_afar: set[ServerName] = field(default_factory=set)
-    _has_news: anyio.Event = field(default_factory=anyio.Event)
-    _has_failures: anyio.Event = field(default_factory=anyio.Event)
-    _tellings: Tellings = field(init=False)
+    # Updates not yet sent: from the entries that follow here, and from other replicas.
+    _entry_updates: "_PendingUpdates" = field(default_factory=lambda: _PendingUpdates())
+    _replica_updates: "_PendingUpdates" = field(
+        default_factory=lambda: _PendingUpdates()
+    )
+    # Requests in flight at servers: of the entries that follow here, and of the entries
+    # of other replicas.
+    _entries_in_flight: InFlightCounts = field(default_factory=InFlightCounts)
+    _replicas_in_flight: InFlightCounts = field(default_factory=InFlightCounts)
+    _pending_for_other_halls: set[ServerName] = field(default_factory=set)
+    _update_pending: anyio.Event = field(default_factory=anyio.Event)
+    _new_suspects: anyio.Event = field(default_factory=anyio.Event)
+    _sender: BestEffortSender = field(init=False)
 
     def __post_init__(self):
-        self._tellings = Tellings(self.calls, TELL_TIMEOUT_S)
+        self._sender = BestEffortSender(self.calls, REPLICA_SEND_TIMEOUT_S)
 
     async def run(self) -> None:
-        """Pass news on until cancelled."""
+        """Send updates until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._tellings.start(tasks)
-            tasks.start_soon(self._share_news)
-            tasks.start_soon(self._share_afar)
-            tasks.start_soon(self._share_hall_entries)
+            self._sender.start(tasks)
+            tasks.start_soon(self._send_updates)
+            tasks.start_soon(self._send_to_other_halls)
+            tasks.start_soon(self._send_hall_entries)
 
     def take_loads(self, entry: Hashable, loads: Iterable[ServerLoad]) -> None:
-        """Take what an entry told of servers' loads."""
-        self._take_loads(entry, loads, self._seen, self._entries_in_flight)
-        self._untold_afar.update(load.server for load in loads)
+        """Receive servers' loads from an entry that follows here."""
+        self._record_loads(entry, loads, self._entry_updates, self._entries_in_flight)
+        self._pending_for_other_halls.update(load.server for load in loads)
 
     def hear_loads(self, replica: Hashable, loads: Iterable[ServerLoad]) -> None:
-        """Take what another replica told; it goes to entries only."""
-        self._take_loads(replica, loads, self._heard, self._replicas_in_flight)
+        """Receive loads from another replica; they are forwarded to entries only."""
+        self._record_loads(
+            replica, loads, self._replica_updates, self._replicas_in_flight
+        )
 
-    def _take_loads(
+    def _record_loads(
         self,
-        teller: Hashable,
+        source: Hashable,
         loads: Iterable[ServerLoad],
-        news: "_News",
-        in_flight: InFlight,
+        updates: "_PendingUpdates",
+        in_flight: InFlightCounts,
     ) -> None:
-        news.add_loads(loads)
+        updates.add_loads(loads)
         for load in loads:
-            in_flight.note(teller, load.server, load.in_flight)
-        self._has_news.set()
-
-    def forget(self, teller: Hashable) -> None:
-        """Drop the requests in flight of an entry or replica that is gone."""
-        gone = self._entries_in_flight.forget(teller)
-        self._seen.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
-        self._untold_afar.update(gone)
-        gone = self._replicas_in_flight.forget(teller)
-        self._heard.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
-        self._has_news.set()
+            in_flight.record(source, load.server, load.in_flight)
+        self._update_pending.set()
+
+    def forget(self, source: Hashable) -> None:
+        """Remove the requests in flight of a disconnected entry or replica."""
+        gone = self._entries_in_flight.remove_source(source)
+        self._entry_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
+        self._pending_for_other_halls.update(gone)
+        gone = self._replicas_in_flight.remove_source(source)
+        self._replica_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
+        self._update_pending.set()
 
     def take_suspects(self, suspects: SuspectServers) -> None:
-        """Take what the entries that follow here made suspect or cleared."""
-        self._seen.add_suspects(suspects, monotonic_ms())
-        self._has_news.set()
-        self._has_failures.set()
+        """Receive changed suspicions from the entries that follow here."""
+        self._entry_updates.add_suspects(suspects, monotonic_ms())
+        self._update_pending.set()
+        self._new_suspects.set()
 
     def hear_suspects(self, suspects: SuspectServers) -> None:
-        """Take what another replica told; it goes to entries only."""
-        self._heard.add_suspects(suspects, monotonic_ms())
-        self._has_news.set()
+        """Receive suspects from another replica; they are forwarded to entries only."""
+        self._replica_updates.add_suspects(suspects, monotonic_ms())
+        self._update_pending.set()
 
-    async def _share_news(self) -> None:
+    async def _send_updates(self) -> None:
         while True:
-            await self._has_news.wait()
-            self._has_news = anyio.Event()
-            self._has_failures = anyio.Event()
-            self._tell_all(monotonic_ms())
-            await self._pause()
-
-    async def _pause(self) -> None:
-        """Let news gather; a server's failure cuts that short."""
+            await self._update_pending.wait()
+            self._update_pending = anyio.Event()
+            self._new_suspects = anyio.Event()
+            self._send_pending(monotonic_ms())
+            await self._wait_for_next_batch()
+
+    async def _wait_for_next_batch(self) -> None:
+        """Let updates accumulate; a new suspect cuts the wait short."""
         followers = len(self.followers)
-        least_s = followers / URGENT_TELLINGS_PER_S
-        await anyio.sleep(least_s)
-        with anyio.move_on_after(news_pause_s(followers) - least_s):
-            await self._has_failures.wait()
-
-    def _tell_all(self, now_ms: int) -> None:
-        """Tell entries and replicas what has come since the last time."""
-        seen, self._seen = self._seen, _News()
-        heard, self._heard = self._heard, _News()
-        self._tell_followers(seen.followed_by(heard), now_ms)
-        if seen.suspect_until_ms:
-            told = _for_other_halls(seen.suspects(now_ms))
-            self._tellings.tell(self._other_replicas(), told)
-        if seen.loads:
-            told = seen.server_loads(self._entries_in_flight.total)
-            self._tellings.tell(self._hall_replicas(), told)
-
-    def _tell_followers(self, news: "_News", now_ms: int) -> None:
-        """Tell all entries of suspects, and those of the own hall of loads."""
-        suspects = [CATALOG.encode(news.suspects(now_ms))] * bool(news.suspect_until_ms)
-        told = news.server_loads(self._fleet_in_flight)
-        loads = [CATALOG.encode(told)] * bool(news.loads)
+        min_wait_s = followers / MAX_URGENT_SENDS_PER_S
+        await anyio.sleep(min_wait_s)
+        with anyio.move_on_after(batch_period_s(followers) - min_wait_s):
+            await self._new_suspects.wait()
+
+    def _send_pending(self, now_ms: int) -> None:
+        """Send entries and replicas the updates since the last batch."""
+        from_entries, self._entry_updates = self._entry_updates, _PendingUpdates()
+        from_replicas, self._replica_updates = self._replica_updates, _PendingUpdates()
+        self._send_to_followers(from_entries.merged_with(from_replicas), now_ms)
+        if from_entries.suspect_until_ms:
+            message = _limit_for_other_halls(from_entries.suspects(now_ms))
+            self._sender.send(self._other_replicas(), message)
+        if from_entries.loads:
+            message = from_entries.server_loads(self._entries_in_flight.total)
+            self._sender.send(self._same_hall_replicas(), message)
+
+    def _send_to_followers(self, updates: "_PendingUpdates", now_ms: int) -> None:
+        """Send suspects to all entries, and loads to those of the own hall."""
+        suspects = [CATALOG.encode(updates.suspects(now_ms))] * bool(
+            updates.suspect_until_ms
+        )
+        message = updates.server_loads(self._fleet_in_flight)
+        loads = [CATALOG.encode(message)] * bool(updates.loads)
         for follower in self.followers:
-            is_home = follower.data_hall == self.own.data_hall
-            follower.tell_news(suspects + loads if is_home else suspects)
+            is_same_hall = follower.data_hall == self.own.data_hall
+            follower.tell_news(suspects + loads if is_same_hall else suspects)
 
-    async def _share_afar(self) -> None:
-        """Tell other halls' replicas what the entries here have under way."""
+    async def _send_to_other_halls(self) -> None:
+        """Send other halls' replicas the requests in flight of the entries here."""
         while True:
             await anyio.sleep(AFAR_PAUSE_S)
-            untold, self._untold_afar = self._untold_afar, set()
-            if untold:
+            pending, self._pending_for_other_halls = (
+                self._pending_for_other_halls,
+                set(),
+            )
+            if pending:
                 total = self._entries_in_flight.total
-                loads = [ServerLoad(name, NO_LOAD, total(name)) for name in untold]
-                self._tellings.tell(self._far_replicas(), ServerLoads(loads))
+                loads = [ServerLoad(name, NO_LOAD, total(name)) for name in pending]
+                self._sender.send(self._other_hall_replicas(), ServerLoads(loads))
 
     def _fleet_in_flight(self, server: ServerName) -> int:
-        """Return what all entries have under way at a server, as far as known."""
+        """Return all entries' known requests in flight at a server."""
         entries, replicas = self._entries_in_flight, self._replicas_in_flight
         return entries.total(server) + replicas.total(server)
 
-    async def _share_hall_entries(self) -> None:
-        """Tell the own hall's entries of each other, for when control is away."""
-        told_to: set[Follower] = set()
+    async def _send_hall_entries(self) -> None:
+        """Send the own hall's entries each other's addresses.
+
+        They exchange updates directly while control is unreachable.
+        """
+        sent_to: set[Follower] = set()
         while True:
-            await anyio.sleep(HALL_ENTRIES_PAUSE_S)
-            home = {f for f in self.followers if f.data_hall == self.own.data_hall}
-            if home == told_to:
+            await anyio.sleep(HALL_ENTRIES_PERIOD_S)
+            local = {f for f in self.followers if f.data_hall == self.own.data_hall}
+            if local == sent_to:
                 continue
-            # Also where the addresses are the same: one that was restarted knows none.
-            told_to = home
-            addresses = sorted(f.peers_address for f in home if f.peers_address)
-            for follower in home:
+            # Also sent if the addresses are the same: a restarted entry knows none.
+            sent_to = local
+            addresses = sorted(f.peers_address for f in local if f.peers_address)
+            for follower in local:
                 follower.tell_hall_entries(HallEntries(addresses))
 
     def _other_replicas(self) -> list[Address]:
         return [a for a in self.machine.replicas if a != self.own.address]
 
-    def _hall_replicas(self) -> list[Address]:
+    def _same_hall_replicas(self) -> list[Address]:
         """Return the other replicas of the own hall.
 
-        After a cut the hall's entries may follow different ones; each would know only
-        a part of what the hall sends to its servers.
+        After a network partition the hall's entries may follow different replicas; each
+        would know only a part of what the hall sends to its servers.
         """
         return [
             address
@@ -199,17 +211,19 @@
             if self.machine.replicas[address].data_hall == self.own.data_hall
         ]
 
-    def _far_replicas(self) -> list[Address]:
+    def _other_hall_replicas(self) -> list[Address]:
         """Return the replicas of other halls."""
-        return [a for a in self._other_replicas() if a not in self._hall_replicas()]
+        return [
+            a for a in self._other_replicas() if a not in self._same_hall_replicas()
+        ]
 
 
 @dataclass
-class _News:
-    """What is known of servers since the last telling, the newest of each."""
+class _PendingUpdates:
+    """Updates since the last batch, only the newest of each server."""
 
     loads: dict[ServerName, ServerLoad] = field(default_factory=dict)
-    # When each suspicion ends; in the past where it was taken back.
+    # When each suspicion ends; in the past if it was withdrawn.
     suspect_until_ms: dict[ServerName, int] = field(default_factory=dict)
 
     def add_loads(self, loads: Iterable[ServerLoad]) -> None:
@@ -218,14 +232,16 @@
                 self.loads[load.server] = load
 
     def add_suspects(self, suspects: SuspectServers, now_ms: int) -> None:
-        for server, left_ms in zip(suspects.servers, suspects.for_ms, strict=True):
-            self.suspect_until_ms[server] = now_ms + left_ms
+        for server, remaining_ms in zip(suspects.servers, suspects.for_ms, strict=True):
+            self.suspect_until_ms[server] = now_ms + remaining_ms
 
-    def followed_by(self, later: "_News") -> "_News":
-        """Return both, the later one's word first where both know a server."""
-        both = _News(dict(self.loads), self.suspect_until_ms | later.suspect_until_ms)
-        both.add_loads(later.loads.values())
-        return both
+    def merged_with(self, later: "_PendingUpdates") -> "_PendingUpdates":
+        """Return the union; `later` wins where both have a server."""
+        merged = _PendingUpdates(
+            dict(self.loads), self.suspect_until_ms | later.suspect_until_ms
+        )
+        merged.add_loads(later.loads.values())
+        return merged
 
     def server_loads(self, in_flight: Callable[[ServerName], int]) -> ServerLoads:
         return ServerLoads(
@@ -236,16 +252,22 @@
         )
 
     def suspects(self, now_ms: int) -> SuspectServers:
-        left_ms = [max(at_ms - now_ms, 0) for at_ms in self.suspect_until_ms.values()]
-        return SuspectServers(list(self.suspect_until_ms), left_ms)
+        remaining_ms = [
+            max(until_ms - now_ms, 0) for until_ms in self.suspect_until_ms.values()
+        ]
+        return SuspectServers(list(self.suspect_until_ms), remaining_ms)
+
 
+def batch_period_s(followers: int) -> float:
+    """Return the usual time between two batches to this many entries."""
+    return max(MIN_BATCH_PERIOD_S, followers / MAX_SENDS_PER_S)
 
-def news_pause_s(followers: int) -> float:
-    """Return the usual time between two tellings to this many entries."""
-    return max(NEWS_PAUSE_S, followers / TELLINGS_PER_S)
 
+def _limit_for_other_halls(suspects: SuspectServers) -> SuspectServers:
+    """Limit the suspicions that are sent to other halls to one that fades once.
 
-def _for_other_halls(suspects: SuspectServers) -> SuspectServers:
-    """Return what other halls are to avoid: not for long what only this one misses."""
-    for_ms = [min(left_ms, FADES_MS) for left_ms in suspects.for_ms]
+    A server may be unreachable from this hall alone; then other halls must not avoid it
+    for long.
+    """
+    for_ms = [min(remaining_ms, FADES_MS) for remaining_ms in suspects.for_ms]
     return SuspectServers(suspects.servers, for_ms)
--- a/src/cinderway/control/_hall_service.py
+++ b/src/cinderway/control/_hall_service.py
@@ -1,7 +1,7 @@
 """What one control replica does for the entries that follow it.
 
-It takes their observations, judges servers by them, passes on what it knows and grants
-retries out of the budget that they share.
+It receives their observations, judges servers by them, distributes what it knows and
+grants retries from the budget that the entries share.
 """
 
 import logging
@@ -20,30 +20,30 @@
 from cinderway.control._entry_groups import EntryGroups
 from cinderway.control._follower import Follower
 from cinderway.control._hall_assessor import HallAssessor
-from cinderway.control._hall_news import HallNews
-from cinderway.control._limit_news import LimitNews
-from cinderway.control._poison_news import PoisonNews
+from cinderway.control._hall_news import HallGossip
+from cinderway.control._limit_news import LimitGossip
+from cinderway.control._poison_news import PoisonGossip
 from cinderway.control._retry_pools import RetryPools
-from cinderway.control._verdict_news import VerdictNews
+from cinderway.control._verdict_news import VerdictThrottle
 
 logger = logging.getLogger(__name__)
 
-# Between two looks for observations to judge.
-ASSESS_PAUSE_S = 0.1
+# How often it is checked for new observations to judge.
+ASSESS_PERIOD_S = 0.1
 
 
 @dataclass
 class HallService:
-    """Serves the entries of one hall, and those that come from elsewhere."""
+    """Serves the entries that follow this replica, from its own hall and others."""
 
     machine: CatalogMachine
-    news: HallNews
+    news: HallGossip
     assessor: HallAssessor
     retry_pools: RetryPools
-    poison: PoisonNews
-    limits: LimitNews
+    poison: PoisonGossip
+    limits: LimitGossip
     groups: EntryGroups
-    verdicts: VerdictNews = field(default_factory=VerdictNews)
+    verdicts: VerdictThrottle = field(default_factory=VerdictThrottle)
 
     @classmethod
     def of(
@@ -54,10 +54,10 @@
         assessor: HallAssessor,
         retry_pools: RetryPools,
     ) -> "HallService":
-        """Return the service of the replica that is announced as `own`."""
-        news = HallNews(own, machine, calls)
-        poison = PoisonNews(own.address, machine, calls, lambda: news.followers)
-        limits = LimitNews(own.address, machine, calls, lambda: news.followers)
+        """Build the service of the replica that is announced as `own`."""
+        news = HallGossip(own, machine, calls)
+        poison = PoisonGossip(own.address, machine, calls, lambda: news.followers)
+        limits = LimitGossip(own.address, machine, calls, lambda: news.followers)
         groups = EntryGroups(own.address, machine, lambda: news.followers)
         return cls(machine, news, assessor, retry_pools, poison, limits, groups)
 
@@ -67,45 +67,49 @@
         return self.news.followers
 
     async def run(self) -> None:
-        """Judge and pass on until cancelled."""
+        """Judge servers and distribute updates until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.news.run)
             tasks.start_soon(self.poison.run)
             tasks.start_soon(self.limits.run)
             tasks.start_soon(self.groups.run)
-            await self._assess()
+            await self._send_verdicts()
 
     def take_evidence(self, batch: EvidenceBatch) -> None:
-        """Take one entry's observations and what its requests add to the budgets."""
+        """Record one entry's observations and credit its requests to the budgets."""
         now_ms = monotonic_ms()
-        self.assessor.take(batch, now_ms)
+        self.assessor.record_evidence(batch, now_ms)
         for service, count in zip(batch.services, batch.first_requests, strict=True):
-            self.retry_pools.earn(service, count, len(self.followers), now_ms)
+            self.retry_pools.record_requests(
+                service, count, len(self.followers), now_ms
+            )
         suspects = self.assessor.new_suspects(now_ms)
         if suspects is not None:
             logger.info(
-                "suspect: %s; failed at %s", ",".join(suspects.servers), batch.entry
+                "suspect servers: %s; reported by %s",
+                ",".join(suspects.servers),
+                batch.entry,
             )
             self.news.take_suspects(suspects)
 
     def take_retry(self, asked: TakeRetry) -> bool:
-        """Take one retry from the shared budget; False if there is none left."""
-        return self.retry_pools.take(
+        """Consume one retry of the shared budget; return False if none is left."""
+        return self.retry_pools.acquire_retry(
             asked.service,
             len(self.followers),
             monotonic_ms(),
             after_failure=asked.after_failure,
         )
 
-    async def _assess(self) -> None:
-        """Tell the entries of each hall its verdicts, as observations come in."""
+    async def _send_verdicts(self) -> None:
+        """Send the entries of each hall its verdicts, as observations come in."""
         while True:
-            await anyio.sleep(ASSESS_PAUSE_S)
+            await anyio.sleep(ASSESS_PERIOD_S)
             now_ms = monotonic_ms()
-            if not self.assessor.has_news(now_ms):
+            if not self.assessor.is_review_due(now_ms):
                 continue
-            self.verdicts.take(self.assessor.decide(self.machine, now_ms), now_ms)
+            self.verdicts.update(self.assessor.decide(self.machine, now_ms), now_ms)
             for follower in self.followers:
-                frame = self.verdicts.frame_for(follower.data_hall)
+                frame = self.verdicts.get_frame(follower.data_hall)
                 if frame is not None:
                     follower.tell_verdicts(frame)
--- a/src/cinderway/control/_poison_news.py
+++ b/src/cinderway/control/_poison_news.py
@@ -1,7 +1,9 @@
-"""What replicas know of requests that end servers, and tell each other and entries.
+"""Distributes which requests make servers end, between replicas and to entries.
 
-Each replica counts the ends that all entries saw: its own entries tell it, and the
-other replicas tell it of theirs. So each rules by itself, also without a leader.
+A run of a request has ended if its server ended during it. Each replica counts the
+ended runs that all entries saw: its own entries report theirs, and the other replicas
+forward those of their entries. So each replica decides by itself, also without a
+leader, which requests are refused.
 """
 
 import logging
@@ -15,7 +17,7 @@
 from cinderway.catalog import CATALOG, CatalogMachine
 from cinderway.control._commands import ReplicaCalls
 from cinderway.control._follower import Follower
-from cinderway.control._tellings import Tellings
+from cinderway.control._tellings import BestEffortSender
 from cinderway.poison import (
     EndedRun,
     PoisonTally,
@@ -28,115 +30,118 @@
 
 logger = logging.getLogger(__name__)
 
-# All that a server has under way ends at the same moment: told together.
-GATHER_S = 0.005
-# A replica that was cut off or has started again learns within this time which
-# requests are refused, and that they are not any more.
-REPEAT_S = 2.0
-TELL_TIMEOUT_S = 1.0
-# Of one telling; the newest are told.
-TOLD_LIMIT = 256
+# All requests in flight at a server end with it at the same moment; reports of them are
+# sent together.
+BATCH_DELAY_S = 0.005
+# A replica that was partitioned or has restarted learns within this time which requests
+# are refused and which are no longer refused.
+RESEND_PERIOD_S = 2.0
+REPLICA_SEND_TIMEOUT_S = 1.0
+# Per message; the newest are sent.
+MAX_LINES_PER_MESSAGE = 256
 
 
 @dataclass
-class PoisonNews:
-    """Counts servers' ends by request, and tells entries what is ruled."""
+class PoisonGossip:
+    """Counts ended runs by request, and sends the rulings on requests to entries."""
 
     own_address: Address
     machine: CatalogMachine
     calls: ReplicaCalls
     followers: Callable[[], set[Follower]]
     tally: PoisonTally = field(default_factory=PoisonTally)
-    # Of entries that follow here, and not yet told to other replicas.
-    _ended: list[EndedRun] = field(default_factory=list)
-    _good: list[RequestDigest] = field(default_factory=list)
-    _rulings: dict[RequestDigest, Ruling] = field(default_factory=dict)
-    _has_news: anyio.Event = field(default_factory=anyio.Event)
-    _tellings: Tellings = field(init=False)
+    # Reported by entries that follow this replica, not yet sent to other replicas.
+    _pending_ended: list[EndedRun] = field(default_factory=list)
+    _pending_good: list[RequestDigest] = field(default_factory=list)
+    _pending_rulings: dict[RequestDigest, Ruling] = field(default_factory=dict)
+    _update_pending: anyio.Event = field(default_factory=anyio.Event)
+    _sender: BestEffortSender = field(init=False)
 
     def __post_init__(self):
-        self._tellings = Tellings(self.calls, TELL_TIMEOUT_S)
+        self._sender = BestEffortSender(self.calls, REPLICA_SEND_TIMEOUT_S)
 
     async def run(self) -> None:
-        """Pass on what is known until cancelled."""
+        """Forward runs and rulings until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self._tellings.start(tasks)
-            tasks.start_soon(self._repeat_rulings)
+            self._sender.start(tasks)
+            tasks.start_soon(self._resend_rulings)
             while True:
-                await self._has_news.wait()
-                await anyio.sleep(GATHER_S)
-                self._has_news = anyio.Event()
-                self._tell_what_is_new()
+                await self._update_pending.wait()
+                await anyio.sleep(BATCH_DELAY_S)
+                self._update_pending = anyio.Event()
+                self._send_pending()
 
     def take_runs(self, runs: RequestRuns) -> None:
-        """Take what an entry saw; the other replicas hear of it."""
-        self._ended += runs.ended
-        self._good += runs.good
+        """Receive runs from an entry; they are forwarded to the other replicas."""
+        self._pending_ended += runs.ended
+        self._pending_good += runs.good
         self.hear_runs(runs)
 
     def hear_runs(self, runs: RequestRuns) -> None:
-        """Take what another replica's entries saw."""
+        """Receive runs that another replica's entries saw."""
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
-            self._note(ruling)
-        self._has_news.set()
+            self._queue_ruling(ruling)
+        self._update_pending.set()
 
-    def learn(self, told: RequestRulings) -> None:
-        """Take over what an entry or another replica holds, where it is newer."""
-        for ruling in self.tally.learn_all(told, monotonic_ms()):
-            self._note(ruling)
+    def learn(self, rulings: RequestRulings) -> None:
+        """Receive rulings of an entry or another replica; keep those that are newer."""
+        for ruling in self.tally.learn_all(rulings, monotonic_ms()):
+            self._queue_ruling(ruling)
 
-    def take_over(self, rulings: Iterable[Ruling]) -> None:
-        """Put rulings in force that are newer than what is held."""
+    def apply_stored_rulings(self, rulings: Iterable[Ruling]) -> None:
+        """Apply the rulings that are newer than those known here."""
         now_ms = monotonic_ms()
         for ruling in rulings:
             if self.tally.learn(ruling, now_ms):
-                self._note(ruling)
+                self._queue_ruling(ruling)
 
     def bar(self, digest: RequestDigest) -> None:
-        """Refuse a request on an operator's word."""
-        self._rule(self.tally.bar(digest, monotonic_ms()))
+        """Refuse a request by an operator's command."""
+        self._apply_operator_ruling(self.tally.bar(digest, monotonic_ms()))
 
     def lift(self, digest: RequestDigest) -> None:
-        """Let a request be sent again on an operator's word."""
-        self._rule(self.tally.lift(digest, monotonic_ms()))
+        """Allow a request again by an operator's command."""
+        self._apply_operator_ruling(self.tally.lift(digest, monotonic_ms()))
 
-    def _rule(self, ruling: Ruling) -> None:
-        self._note(ruling)
-        self._tell_replicas(_told([ruling]))
+    def _apply_operator_ruling(self, ruling: Ruling) -> None:
+        self._queue_ruling(ruling)
+        self._send_to_replicas(_build_message([ruling]))
 
     def rulings(self) -> RequestRulings:
-        """Return what an entry needs to know that follows from now on."""
-        return _told(self.tally.rulings(monotonic_ms()))
+        """Return the rulings in force, for an entry that begins to follow."""
+        return _build_message(self.tally.rulings(monotonic_ms()))
 
-    def _note(self, ruling: Ruling) -> None:
-        self._rulings[ruling.digest] = ruling
-        self._has_news.set()
+    def _queue_ruling(self, ruling: Ruling) -> None:
+        self._pending_rulings[ruling.digest] = ruling
+        self._update_pending.set()
         logger.info("%s", ruling)
 
-    def _tell_what_is_new(self) -> None:
-        rulings, self._rulings = self._rulings, {}
+    def _send_pending(self) -> None:
+        rulings, self._pending_rulings = self._pending_rulings, {}
         if rulings:
-            frame = CATALOG.encode(_told(list(rulings.values())))
+            frame = CATALOG.encode(_build_message(list(rulings.values())))
             for follower in self.followers():
                 follower.tell_news([frame])
-        ended, self._ended = self._ended[-TOLD_LIMIT:], []
-        good, self._good = self._good[-TOLD_LIMIT:], []
+        ended, self._pending_ended = self._pending_ended[-MAX_LINES_PER_MESSAGE:], []
+        good, self._pending_good = self._pending_good[-MAX_LINES_PER_MESSAGE:], []
         if ended or good:
-            self._tell_replicas(RequestRuns(ended, good))
+            self._send_to_replicas(RequestRuns(ended, good))
 
-    async def _repeat_rulings(self) -> None:
+    async def _resend_rulings(self) -> None:
         while True:
-            await anyio.sleep(REPEAT_S)
-            told = self.rulings()
-            if told.lines:
-                self._tell_replicas(told)
+            await anyio.sleep(RESEND_PERIOD_S)
+            rulings = self.rulings()
+            if rulings.lines:
+                self._send_to_replicas(rulings)
 
-    def _tell_replicas(self, message: Message) -> None:
-        others = [a for a in self.machine.replicas if a != self.own_address]
-        self._tellings.tell(others, message)
+    def _send_to_replicas(self, message: Message) -> None:
+        other_replicas = [a for a in self.machine.replicas if a != self.own_address]
+        self._sender.send(other_replicas, message)
 
 
-def _told(rulings: list[Ruling]) -> RequestRulings:
+def _build_message(rulings: list[Ruling]) -> RequestRulings:
     now_ms = monotonic_ms()
-    lines = [RequestRuling.of(ruling, now_ms) for ruling in rulings[-TOLD_LIMIT:]]
+    lines = [
+        RequestRuling.of(ruling, now_ms) for ruling in rulings[-MAX_LINES_PER_MESSAGE:]
+    ]
     return RequestRulings(lines)
--- a/src/cinderway/control/_poison_store.py
+++ b/src/cinderway/control/_poison_store.py
@@ -1,8 +1,8 @@
-"""Keep which requests are refused, so that a loss of all power does not forget it.
+"""Replicates which requests are refused, so that this survives a full power loss.
 
-Rulings are news first, and spread without a leader. The leader has what is refused
-replicated, and what is allowed again; a replica that starts takes over what the group
-holds.
+Rulings spread by gossip first, without a leader. The leader then replicates refusals
+and their removal through the log; a replica that starts applies the replicated
+refusals.
 """
 
 import logging
@@ -15,64 +15,66 @@
 from cinderway._errors import CinderwayError
 from cinderway.catalog import AllowRequest, CatalogMachine, Command, RefuseRequest
 from cinderway.control._commands import Commands
-from cinderway.control._poison_news import PoisonNews
+from cinderway.control._poison_news import PoisonGossip
 from cinderway.poison import REMEMBERED_MS, Ruling, Standing
 from cinderway.replication import Node
 
 logger = logging.getLogger(__name__)
 
-# Between two looks for rulings to store: news is in force long before.
-LOOK_S = 0.25
-# Refusals come one by one; after a leader is back these are proposed in turn.
-COMMANDS_A_LOOK = 16
+# How often rulings are checked for ones to replicate; gossip has put them in force
+# long before.
+SYNC_PERIOD_S = 0.25
+# Refusals normally come one by one; after a time without a leader they are proposed in
+# batches of this size.
+MAX_COMMANDS_PER_SYNC = 16
 
 
 @dataclass
 class PoisonStore:
-    """Brings a replica's rulings and those that the group holds in line."""
+    """Synchronizes a replica's rulings with the replicated refusals."""
 
     node: Node
     machine: CatalogMachine
     commands: Commands
-    news: PoisonNews
+    gossip: PoisonGossip
 
     async def run(self) -> None:
-        """Look for what the group is to be told until cancelled."""
+        """Synchronize periodically until cancelled."""
         while True:
-            self.take_over()
+            self.apply_stored_rulings()
             if self.node.core.is_leader and self.node.has_caught_up:
-                await self._propose()
-            await anyio.sleep(LOOK_S)
+                await self._submit_due_commands()
+            await anyio.sleep(SYNC_PERIOD_S)
 
-    def take_over(self) -> None:
-        """Put in force what the group holds."""
+    def apply_stored_rulings(self) -> None:
+        """Apply the replicated refusals here."""
         now_ms, wall_ms = monotonic_ms(), wall_clock_ms()
-        self.news.take_over(
-            ruling_of(refused, now_ms, wall_ms)
+        self.gossip.apply_stored_rulings(
+            build_ruling(refused, now_ms, wall_ms)
             for refused in self.machine.refused.values()
         )
 
-    async def _propose(self) -> None:
+    async def _submit_due_commands(self) -> None:
         now_ms, wall_ms = monotonic_ms(), wall_clock_ms()
-        rulings = self.news.tally.rulings(now_ms)
-        due = due_commands(rulings, self.machine, now_ms, wall_ms)
-        for _, command in zip(range(COMMANDS_A_LOOK), due, strict=False):
+        rulings = self.gossip.tally.rulings(now_ms)
+        due = build_due_commands(rulings, self.machine, now_ms, wall_ms)
+        for _, command in zip(range(MAX_COMMANDS_PER_SYNC), due, strict=False):
             try:
                 await self.commands.submit(command)
             except CinderwayError as error:
-                logger.info("a ruling on a request is not stored yet: %s", error)
+                logger.info("a ruling on a request is not replicated yet: %s", error)
                 return
 
 
-def due_commands(
+def build_due_commands(
     rulings: list[Ruling], machine: CatalogMachine, now_ms: int, wall_ms: int
 ) -> Iterator[Command]:
-    """Yield what the group is to be told; pure."""
+    """Yield the commands that bring the replicated refusals up to date. Does no I/O."""
     for ruling in rulings:
         stored = machine.refused.get(ruling.digest)
         stored_round = stored.round_number if stored else 0
         if not ruling.standing.is_sent and ruling.round_number > stored_round:
-            yield _refusal_of(ruling, now_ms, wall_ms)
+            yield _build_refusal(ruling, now_ms, wall_ms)
         elif ruling.standing is Standing.CLEARED and stored is not None:
             yield AllowRequest(ruling.digest)
     for stored in list(machine.refused.values()):
@@ -80,8 +82,8 @@
             yield AllowRequest(stored.digest)
 
 
-def ruling_of(refused: RefuseRequest, now_ms: int, wall_ms: int) -> Ruling:
-    """Return the ruling that a stored refusal stands for, by the clock here."""
+def build_ruling(refused: RefuseRequest, now_ms: int, wall_ms: int) -> Ruling:
+    """Return the ruling for a stored refusal, with times by this process's clock."""
     return Ruling(
         refused.digest,
         Standing.BARRED if refused.is_barred else Standing.REFUSED,
@@ -93,7 +95,7 @@
     )
 
 
-def _refusal_of(ruling: Ruling, now_ms: int, wall_ms: int) -> RefuseRequest:
+def _build_refusal(ruling: Ruling, now_ms: int, wall_ms: int) -> RefuseRequest:
     return RefuseRequest(
         ruling.digest,
         ruling.round_number,
--- a/src/cinderway/control/_refused_heartbeats.py
+++ b/src/cinderway/control/_refused_heartbeats.py
@@ -1,7 +1,7 @@
-"""Say once of each server why its heartbeats are refused. Pure.
+"""Deduplicates the log lines about refused heartbeats. Does no I/O.
 
-A writer whose heartbeats cannot be read goes on sending them every second or so; a line
-for each would drown what else a log has to say.
+A server whose heartbeats are invalid goes on sending them every second or so; a line
+for each would flood the log.
 """
 
 from collections import OrderedDict
@@ -9,23 +9,23 @@
 
 from cinderway._ids import ServerName
 
-# Servers whose last refusal is remembered; beyond that, the oldest is told again.
-SERVERS_KEPT = 256
+# Servers whose last refusal is remembered; beyond that, the oldest is logged again.
+MAX_REMEMBERED_SERVERS = 256
 
 
 @dataclass
 class RefusedHeartbeats:
-    """How many heartbeats were refused, and what was last said of each server."""
+    """The number of refused heartbeats, and the last reason for each server."""
 
     count: int = 0
-    _said: OrderedDict[ServerName, str] = field(default_factory=OrderedDict)
+    _last_reasons: OrderedDict[ServerName, str] = field(default_factory=OrderedDict)
 
-    def is_news(self, server: ServerName, reason: str) -> bool:
-        """Count a refusal; whether its reason was not the server's last one."""
+    def record_refusal(self, server: ServerName, reason: str) -> bool:
+        """Count a refusal; return whether its reason differs from the server's last."""
         self.count += 1
-        is_news = self._said.get(server) != reason
-        self._said[server] = reason
-        self._said.move_to_end(server)
-        if len(self._said) > SERVERS_KEPT:
-            self._said.popitem(last=False)
-        return is_news
+        is_new_reason = self._last_reasons.get(server) != reason
+        self._last_reasons[server] = reason
+        self._last_reasons.move_to_end(server)
+        if len(self._last_reasons) > MAX_REMEMBERED_SERVERS:
+            self._last_reasons.popitem(last=False)
+        return is_new_reason
--- a/src/cinderway/control/_retry_pools.py
+++ b/src/cinderway/control/_retry_pools.py
@@ -1,6 +1,6 @@
-"""The retry pools of all services, shared by the entries that follow one replica.
+"""The retry budgets of all services, shared by the entries that follow one replica.
 
-Pure: time is passed in.
+Does no I/O; the time is passed in.
 """
 
 from dataclasses import dataclass, field
@@ -11,23 +11,24 @@
 
 @dataclass
 class RetryPools:
-    """One pool for each service, made when it is first used.
+    """One pool for each service, created on first use.
 
-    `percent` is the share of retries in each service's requests; `extra_per_entry` are
-    the retries beyond it that each entry adds to every pool.
+    `percent` is the number of retries allowed per 100 first requests of a service;
+    `extra_per_entry` is the number of additional retries that each entry adds to every
+    pool.
     """
 
     percent: int
     extra_per_entry: float
     _pools: dict[ServiceName, RetryPool] = field(default_factory=dict)
 
-    def earn(
+    def record_requests(
         self, service: ServiceName, requests: int, entries: int, now_ms: int
     ) -> None:
-        """Note first requests of a service."""
-        self._pool_of(service, entries, now_ms).earn(requests, now_ms)
+        """Credit first requests of a service to its pool."""
+        self._get_pool(service, entries, now_ms).earn(requests, now_ms)
 
-    def take(
+    def acquire_retry(
         self,
         service: ServiceName,
         entries: int,
@@ -35,11 +36,11 @@
         *,
         after_failure: bool = True,
     ) -> bool:
-        """Take one retry; False if there is none left."""
-        pool = self._pool_of(service, entries, now_ms)
+        """Consume one retry; return False if none is left."""
+        pool = self._get_pool(service, entries, now_ms)
         return pool.take(now_ms, after_failure=after_failure)
 
-    def _pool_of(self, service: ServiceName, entries: int, now_ms: int) -> RetryPool:
+    def _get_pool(self, service: ServiceName, entries: int, now_ms: int) -> RetryPool:
         pool = self._pools.get(service)
         if pool is None:
             pool = RetryPool(self.percent, 0.0, now_ms)
--- a/src/cinderway/control/_service.py
+++ b/src/cinderway/control/_service.py
@@ -1,4 +1,4 @@
-"""Serves the table's conversation from one control replica."""
+"""Serves the service table's protocol from one control replica."""
 
 import random
 
@@ -35,17 +35,18 @@
 )
 
 PROPOSE_TIMEOUT_S = 3.0
-FIRST_TABLE_LEVEL = 1
+LOWEST_TABLE_LEVEL = 1
 BARRIER_TIMEOUT_S = 1.0
-# Enough to find a newcomer's peers by; small beside the table.
-HEARD_SAMPLE = 48
+# Entries listed in each answer: enough for a new entry to find its peers, and small
+# compared with the table.
+PEER_SAMPLE_SIZE = 48
 
 
 class ControlService:
     """Answers operators and entries.
 
-    Any replica hands out the table that it has applied; only the leader, confirmed
-    by a quorum, takes edits and answers reads as current.
+    Any replica serves the table that it has applied; only the leader, confirmed by a
+    quorum, accepts edits and answers reads as current.
     """
 
     def __init__(self, node: Node, machine: TableMachine, fleet: Fleet):
@@ -56,7 +57,7 @@
 
     @property
     def route(self) -> Route:
-        """What serves the table's connections."""
+        """The route for connections that use the table's protocol."""
         return Route(TABLE, self._serve)
 
     async def _serve(self, connection: Connection, name: str) -> None:
@@ -74,9 +75,9 @@
                 return await self._follow(request)
             case ReadTable():
                 await self._node.read_barrier(BARRIER_TIMEOUT_S)
-                return self._table_answer(0, is_current=True)
+                return self._build_table_answer(0, is_current=True)
             case SubmitEdit(edit=edit):
-                self._require_fleet_can_take(edit)
+                self._require_fleet_supports(edit)
                 return await self._node.propose(edit.encode(), PROPOSE_TIMEOUT_S)
             case ReadStatus():
                 return await self._status()
@@ -89,19 +90,19 @@
         if request.must_be_current:
             await self._node.read_barrier(BARRIER_TIMEOUT_S)
         else:
-            await self._wait_beyond(request.known_revision, request.wait_ms)
-        return self._table_answer(
+            await self._wait_for_revision_after(request.known_revision, request.wait_ms)
+        return self._build_table_answer(
             request.known_revision,
             is_current=request.must_be_current,
             own_revision=own_revision,
         )
 
-    async def _wait_beyond(self, revision: int, wait_ms: int) -> None:
+    async def _wait_for_revision_after(self, revision: int, wait_ms: int) -> None:
         with anyio.move_on_after(wait_ms / 1000):
             while self._machine.table.revision <= revision:
                 await self._node.wait_applied()
 
-    def _table_answer(
+    def _build_table_answer(
         self, known_revision: int, *, is_current: bool, own_revision: int = 0
     ) -> TableAnswer:
         now_ms = monotonic_ms()
@@ -111,7 +112,7 @@
             is_current=is_current,
             is_trusted=False,
             own_revision=own_revision,
-            heard=self._fleet.sample(HEARD_SAMPLE, now_ms, self._rng),
+            heard=self._fleet.sample(PEER_SAMPLE_SIZE, now_ms, self._rng),
         )
 
     async def _is_confirmed(self) -> bool:
@@ -121,9 +122,9 @@
             return False
         return True
 
-    def _require_fleet_can_take(self, edit: Edit) -> None:
-        # A leader that has heard of no entry yet takes the fleet for the oldest.
-        lowest = self._fleet.lowest_table_level(monotonic_ms()) or FIRST_TABLE_LEVEL
+    def _require_fleet_supports(self, edit: Edit) -> None:
+        # A leader that has no report of any entry yet assumes the lowest table level.
+        lowest = self._fleet.lowest_table_level(monotonic_ms()) or LOWEST_TABLE_LEVEL
         for change in edit.changes:
             declared = COLUMNS[change.sheet].get(change.column)
             if change.action is Action.SET and declared and declared.level > lowest:
--- a/src/cinderway/control/_tellings.py
+++ b/src/cinderway/control/_tellings.py
@@ -1,4 +1,4 @@
-"""Tell other replicas something, without waiting until they have heard it."""
+"""Sends messages to other replicas without waiting for them to arrive."""
 
 import logging
 from collections.abc import Iterable
@@ -15,25 +15,28 @@
 
 
 @dataclass
-class Tellings:
-    """Brings messages to replicas; one that cannot be told in time is left out."""
+class BestEffortSender:
+    """Sends messages to replicas, best effort.
+
+    A message that a replica does not answer within `timeout_s` is dropped.
+    """
 
     calls: ReplicaCalls
     timeout_s: float
     _tasks: TaskGroup | None = None
 
     def start(self, tasks: TaskGroup) -> None:
-        """Take the task group to tell in; before the first telling."""
+        """Set the task group that sends run in; call it before the first send."""
         self._tasks = tasks
 
-    def tell(self, replicas: Iterable[Address], message: Message) -> None:
-        """Send a message to each of some replicas."""
+    def send(self, replicas: Iterable[Address], message: Message) -> None:
+        """Send a message to each of the replicas, concurrently."""
         for address in replicas:
-            self._tasks.start_soon(self._tell_one, address, message)
+            self._tasks.start_soon(self._send_one, address, message)
 
-    async def _tell_one(self, address: Address, message: Message) -> None:
+    async def _send_one(self, address: Address, message: Message) -> None:
         try:
             await self.calls.call(address, message, self.timeout_s)
         except CinderwayError as error:
-            kind = type(message).__name__
-            logger.debug("%s was not told to a replica: %s", kind, error)
+            message_type = type(message).__name__
+            logger.debug("%s could not be sent to a replica: %s", message_type, error)
--- a/src/cinderway/control/_verdict_news.py
+++ b/src/cinderway/control/_verdict_news.py
@@ -1,6 +1,6 @@
-"""Which verdicts entries are told: ejections at once, shares from time to time.
+"""Decides when verdicts are sent to entries: ejections at once, shares periodically.
 
-Pure: time is passed in.
+Does no I/O; the time is passed in.
 """
 
 from dataclasses import dataclass, field
@@ -8,36 +8,36 @@
 from cinderway._ids import DataHall, ServerName
 from cinderway.catalog import CATALOG, VerdictBatch
 
-# Shares of slow and recovering servers move all the time; told at each look they would
-# keep entries busy.
-SHARES_PAUSE_MS = 500
+# Shares of slow and recovering servers change all the time; sending them at each
+# assessment would keep entries busy.
+SHARE_UPDATE_PERIOD_MS = 500
 
 
 @dataclass
-class VerdictNews:
-    """The batch that each hall's entries were told last, encoded once for all."""
+class VerdictThrottle:
+    """The batch last sent to the entries of each hall, encoded once for all of them."""
 
-    _told: dict[DataHall, "_Told"] = field(default_factory=dict)
+    _sent: dict[DataHall, "_SentBatch"] = field(default_factory=dict)
 
-    def take(self, verdicts: dict[DataHall, VerdictBatch], now_ms: int) -> None:
-        """Take what is judged now; it replaces what was told before where it is due."""
+    def update(self, verdicts: dict[DataHall, VerdictBatch], now_ms: int) -> None:
+        """Replace a hall's batch by the new one if ejections changed or it is due."""
         for hall, batch in verdicts.items():
             ejected = frozenset(x.server for x in batch.lines if x.is_ejected)
-            told = self._told.get(hall)
-            is_urgent = told is None or told.ejected != ejected
-            if is_urgent or now_ms - told.at_ms >= SHARES_PAUSE_MS:
-                self._told[hall] = _Told(CATALOG.encode(batch), ejected, now_ms)
-        for hall in self._told.keys() - verdicts.keys():
-            del self._told[hall]
-
-    def frame_for(self, hall: DataHall) -> bytes | None:
+            sent = self._sent.get(hall)
+            is_urgent = sent is None or sent.ejected != ejected
+            if is_urgent or now_ms - sent.sent_at_ms >= SHARE_UPDATE_PERIOD_MS:
+                self._sent[hall] = _SentBatch(CATALOG.encode(batch), ejected, now_ms)
+        for hall in self._sent.keys() - verdicts.keys():
+            del self._sent[hall]
+
+    def get_frame(self, hall: DataHall) -> bytes | None:
         """Return the encoded batch for a hall's entries; None if there is none."""
-        told = self._told.get(hall)
-        return told.frame if told else None
+        sent = self._sent.get(hall)
+        return sent.frame if sent else None
 
 
 @dataclass(frozen=True)
-class _Told:
+class _SentBatch:
     frame: bytes
     ejected: frozenset[ServerName]
-    at_ms: int
+    sent_at_ms: int
--- a/tests/control/test_allowances.py
+++ b/tests/control/test_allowances.py
@@ -75,7 +75,7 @@
 
     async def borrow(self, address):
         replica = self[address]
-        short = replica._short(self.now_ms)
+        short = replica._find_short_accounts(self.now_ms)
         for lender in self.addresses:
             if short and lender != address:
                 with patch.object(_allowances, "monotonic_ms", lambda: self.now_ms):
--- a/tests/control/test_catalog_http.py
+++ b/tests/control/test_catalog_http.py
@@ -8,7 +8,7 @@
 
 from cinderway.catalog import CatalogMachine, encode_command
 from cinderway.control._catalog_http import CatalogHttp
-from cinderway.control._displaced_heard import ALIVE_AFTER_MS, DisplacedHeard
+from cinderway.control._displaced_heard import ALIVE_AFTER_MS, DisplacedLiveness
 
 
 class Commands:
@@ -23,12 +23,12 @@
         self.machine.apply(len(self.submitted), encode_command(command))
 
 
-class HeardLongAgo(DisplacedHeard):
+class HeardLongAgo(DisplacedLiveness):
     """Has heard each server since long before."""
 
-    def is_alive(self, server, now_ms):
-        super().is_alive(server, now_ms - ALIVE_AFTER_MS)
-        return super().is_alive(server, now_ms)
+    def record_heartbeat(self, server, now_ms):
+        super().record_heartbeat(server, now_ms - ALIVE_AFTER_MS)
+        return super().record_heartbeat(server, now_ms)
 
 
 class HeartbeatTests(unittest.TestCase):
@@ -68,7 +68,7 @@
         self.call("PUT", "i-living")
         self.call("PUT", "i-over")
         self.assertEqual(self.servers(), ["i-over"])
-        self.http.heard = HeardLongAgo()
+        self.http.liveness = HeardLongAgo()
         self.assertEqual(self.call("PUT", "i-living"), 200)
         self.assertEqual(self.servers(), ["i-living"])
 
@@ -82,7 +82,7 @@
         self.call("PUT", "i-living")
         self.call("PUT", "i-over")
         self.call("DELETE", "i-living")
-        self.http.heard = HeardLongAgo()
+        self.http.liveness = HeardLongAgo()
         self.call("PUT", "i-living")
         self.assertEqual(self.servers(), ["i-over"])
         self.assertEqual(
--- a/tests/control/test_catalog_service.py
+++ b/tests/control/test_catalog_service.py
@@ -1,12 +1,12 @@
 import unittest
 
-from cinderway.control._commands import may_take_commands
+from cinderway.control._commands import can_accept_commands
 
 
 class CommandsTests(unittest.TestCase):
     def test_a_group_that_forms_takes_nothing_before_enough_replicas_vote(self):
-        self.assertFalse(may_take_commands(4, 5, has_sheet=False))
-        self.assertTrue(may_take_commands(5, 5, has_sheet=False))
+        self.assertFalse(can_accept_commands(4, 5, has_sheet=False))
+        self.assertTrue(can_accept_commands(5, 5, has_sheet=False))
 
     def test_a_group_that_replaces_a_lost_disk_goes_on_taking_commands(self):
-        self.assertTrue(may_take_commands(4, 5, has_sheet=True))
+        self.assertTrue(can_accept_commands(4, 5, has_sheet=True))
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -11,7 +11,7 @@
     InstallSheet,
     encode_command,
 )
-from cinderway.control._follower import HEARTBEAT_S, UPDATE_PAUSE_MS, Follower
+from cinderway.control._follower import HEARTBEAT_S, UPDATE_PERIOD_MS, Follower
 from cinderway.experiment._virtual_time import run_in_virtual_time
 
 
@@ -110,13 +110,13 @@
                 self.machine.apply(number, encode_command(self.sheet(number)))
                 self.follower.wake()
                 await anyio.sleep(0.01)
-            await anyio.sleep(2 * UPDATE_PAUSE_MS / 1000)
+            await anyio.sleep(2 * UPDATE_PERIOD_MS / 1000)
             tasks.cancel_scope.cancel()
 
     def test_changes_that_come_close_together_are_sent_together(self):
         run_in_virtual_time(self.change_often)
         updates = [m for m in self.sent.messages if isinstance(m, CatalogUpdate)]
-        self.assertLessEqual(len(updates), 1_000 // UPDATE_PAUSE_MS + 2)
+        self.assertLessEqual(len(updates), 1_000 // UPDATE_PERIOD_MS + 2)
         self.assertEqual(updates[-1].revision, 101)
 
     async def stop_taking(self):
--- a/tests/control/test_hall_assessor.py
+++ b/tests/control/test_hall_assessor.py
@@ -64,7 +64,7 @@
         for _ in range(rounds):
             for entry in ENTRIES:
                 self.now_ms += 20
-                assessor.take(batch(entry, bad, good), self.now_ms)
+                assessor.record_evidence(batch(entry, bad, good), self.now_ms)
         return assessor.decide(self.catalog, self.now_ms)["suva"].lines
 
     def test_a_server_that_entries_see_fail_is_ejected(self):
@@ -75,8 +75,8 @@
         assessor = self.assessor()
         for _ in range(8):
             for entry in ENTRIES[1:]:
-                assessor.take(batch(entry, (), SERVERS), self.now_ms)
-            assessor.take(batch(ENTRIES[0], SERVERS[:1]), self.now_ms)
+                assessor.record_evidence(batch(entry, (), SERVERS), self.now_ms)
+            assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), self.now_ms)
         self.assertEqual(assessor.decide(self.catalog, self.now_ms)["suva"].lines, [])
 
     def test_the_floor_keeps_servers_in(self):
@@ -85,25 +85,25 @@
 
     def test_each_failure_makes_a_new_suspect_once(self):
         assessor = self.assessor()
-        assessor.take(batch(ENTRIES[0], SERVERS[:1]), 100)
+        assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), 100)
         told = assessor.new_suspects(100)
         self.assertEqual(told.servers, ["i-1"])
         self.assertIsNone(assessor.new_suspects(100))
-        assessor.take(batch(ENTRIES[1], SERVERS[:1]), 100)
+        assessor.record_evidence(batch(ENTRIES[1], SERVERS[:1]), 100)
         self.assertIsNone(assessor.new_suspects(100))
 
     def test_two_suspects_of_one_moment_are_both_told(self):
         assessor = self.assessor()
-        assessor.take(batch(ENTRIES[0], SERVERS[:1]), 100)
+        assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), 100)
         self.assertEqual(assessor.new_suspects(100).servers, ["i-1"])
-        assessor.take(batch(ENTRIES[0], SERVERS[1:2]), 100)
+        assessor.record_evidence(batch(ENTRIES[0], SERVERS[1:2]), 100)
         self.assertEqual(assessor.new_suspects(100).servers, ["i-2"])
 
     def suspects_after(self, evidence):
         assessor = self.assessor()
         sent = batch(ENTRIES[0])
         sent = msgspec.structs.replace(sent, servers=msgspec.msgpack.encode([evidence]))
-        assessor.take(sent, 100)
+        assessor.record_evidence(sent, 100)
         return assessor.new_suspects(100)
 
     def test_a_slow_answer_makes_no_suspect(self):
@@ -126,7 +126,7 @@
         sent = msgspec.structs.replace(
             batch(ENTRIES[0]), servers=msgspec.msgpack.encode([evidence])
         )
-        assessor.take(sent, self.now_ms)
+        assessor.record_evidence(sent, self.now_ms)
         return assessor.decide(self.catalog, self.now_ms)["suva"].paces
 
     def test_entries_are_told_how_long_a_service_takes(self):
@@ -169,7 +169,7 @@
                 sent = msgspec.structs.replace(
                     batch(entry), servers=msgspec.msgpack.encode(found)
                 )
-                assessor.take(sent, self.now_ms)
+                assessor.record_evidence(sent, self.now_ms)
         lines = assessor.decide(self.catalog, self.now_ms)["suva"].lines
         return {line.server: line.share for line in lines}
 
@@ -195,5 +195,5 @@
         sent = msgspec.structs.replace(
             batch(ENTRIES[0]), servers=msgspec.msgpack.encode(found)
         )
-        assessor.take(sent, 100)
+        assessor.record_evidence(sent, 100)
         self.assertEqual(assessor.decide(self.catalog, 100)["suva"].lines, [])
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_news.py
@@ -18,10 +18,10 @@
 )
 from cinderway.control import _hall_news
 from cinderway.control._hall_news import (
-    NEWS_PAUSE_S,
-    TELLINGS_PER_S,
-    HallNews,
-    news_pause_s,
+    MAX_SENDS_PER_S,
+    MIN_BATCH_PERIOD_S,
+    HallGossip,
+    batch_period_s,
 )
 from cinderway.judgement import FADES_MS
 
@@ -79,7 +79,7 @@
         self.calls = Calls()
         own = replica("10.1.0.1:7100")
         self.home, self.far = Follower("suva"), Follower("nadi")
-        self.news = HallNews(own, machine, self.calls, {self.home, self.far})
+        self.news = HallGossip(own, machine, self.calls, {self.home, self.far})
 
     def take_loads(self, loads, entry="e1"):
         self.news.take_loads(entry, loads)
@@ -189,10 +189,10 @@
         self.assertEqual([message for _, message in self.calls.told], [told, told])
 
     def test_what_is_spent_on_news_does_not_grow_with_the_entries(self):
-        self.assertEqual(news_pause_s(1), NEWS_PAUSE_S)
+        self.assertEqual(batch_period_s(1), MIN_BATCH_PERIOD_S)
         for followers in (60, 200, 1_100):
-            per_s = followers / news_pause_s(followers)
-            self.assertAlmostEqual(per_s, TELLINGS_PER_S)
+            per_s = followers / batch_period_s(followers)
+            self.assertAlmostEqual(per_s, MAX_SENDS_PER_S)
 
     def test_a_failure_is_told_before_loads_have_gathered(self):
         async def run():
@@ -208,7 +208,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "NEWS_PAUSE_S", 1_000_000):
+        with patch.object(_hall_news, "MIN_BATCH_PERIOD_S", 1_000_000):
             anyio.run(run)
         self.assertEqual(self.home.loads, LOADS + LOADS)
         self.assertEqual(len(self.home.suspects), 1)
@@ -228,7 +228,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "HALL_ENTRIES_PAUSE_S", 0.001):
+        with patch.object(_hall_news, "HALL_ENTRIES_PERIOD_S", 0.001):
             anyio.run(restart)
         self.assertEqual(first.hall_entries, [["10.1.0.9:7101"]])
         self.assertEqual(again.hall_entries, [["10.1.0.9:7101"]])
--- a/tests/control/test_in_flight.py
+++ b/tests/control/test_in_flight.py
@@ -3,25 +3,27 @@
 
 from hypothesis import given, strategies as st
 
-from cinderway.control._in_flight import InFlight
+from cinderway.control._in_flight import InFlightCounts
 
-TELLERS, SERVERS = ("e1", "e2", "e3"), ("i-1", "i-2")
-WORDS = st.tuples(st.sampled_from(TELLERS), st.sampled_from(SERVERS), st.integers(0, 4))
+SOURCES, SERVERS = ("e1", "e2", "e3"), ("i-1", "i-2")
+REPORTS = st.tuples(
+    st.sampled_from(SOURCES), st.sampled_from(SERVERS), st.integers(0, 4)
+)
 # None stands for a teller that is gone.
-EVENTS = st.lists(st.one_of(WORDS, st.tuples(st.sampled_from(TELLERS), st.none())))
+EVENTS = st.lists(st.one_of(REPORTS, st.tuples(st.sampled_from(SOURCES), st.none())))
 
 
-class InFlightTests(unittest.TestCase):
+class InFlightCountsTests(unittest.TestCase):
     @given(EVENTS)
     def test_the_total_is_the_sum_of_each_tellers_last_word(self, events):
-        in_flight, last = InFlight(), {}
-        for teller, *word in events:
-            if word[0] is None:
-                in_flight.forget(teller)
-                last = {key: n for key, n in last.items() if key[0] != teller}
+        in_flight, last = InFlightCounts(), {}
+        for source, *report in events:
+            if report[0] is None:
+                in_flight.remove_source(source)
+                last = {key: n for key, n in last.items() if key[0] != source}
             else:
-                in_flight.note(teller, *word)
-                last[teller, word[0]] = word[1]
+                in_flight.record(source, *report)
+                last[source, report[0]] = report[1]
         totals = Counter()
         for (_, server), count in last.items():
             totals[server] += count
@@ -29,8 +31,8 @@
             self.assertEqual(in_flight.total(server), totals[server])
 
     def test_a_teller_that_is_gone_names_the_servers_that_this_concerns(self):
-        in_flight = InFlight()
-        in_flight.note("e1", "i-1", 2)
-        in_flight.note("e1", "i-2", 1)
-        in_flight.note("e1", "i-2", 0)
-        self.assertEqual(list(in_flight.forget("e1")), ["i-1"])
+        in_flight = InFlightCounts()
+        in_flight.record("e1", "i-1", 2)
+        in_flight.record("e1", "i-2", 1)
+        in_flight.record("e1", "i-2", 0)
+        self.assertEqual(list(in_flight.remove_source("e1")), ["i-1"])
--- a/tests/control/test_limit_news.py
+++ b/tests/control/test_limit_news.py
@@ -8,8 +8,13 @@
 from cinderway._ids import Address, DataHall, EntryName, ServerName
 from cinderway.catalog import CATALOG, AnnounceReplica, CatalogMachine, encode_command
 from cinderway.control import _limit_news
-from cinderway.control._entry_groups import KEPT_MS, LOOK_PAUSE_S, SETTLE_S, EntryGroups
-from cinderway.control._limit_news import LimitNews
+from cinderway.control._entry_groups import (
+    CHECK_PERIOD_S,
+    RETENTION_MS,
+    STARTUP_DELAY_S,
+    EntryGroups,
+)
+from cinderway.control._limit_news import LimitGossip
 from cinderway.experiment._virtual_time import run_in_virtual_time
 from cinderway.pushback import ServerLimit, ServerLimits
 
@@ -55,10 +60,10 @@
         return [message.lines[0].rate_per_s for message in self.messages]
 
 
-class LimitNewsTests(unittest.TestCase):
+class LimitGossipTests(unittest.TestCase):
     def setUp(self):
         self.calls, self.entry = Calls(), Follower()
-        self.news = LimitNews(OWN, machine(), self.calls, lambda: {self.entry})
+        self.news = LimitGossip(OWN, machine(), self.calls, lambda: {self.entry})
 
     def play(self, *steps, for_s=1.0):
         """Take what is told, one step each 10 ms, and pass it on for a while."""
@@ -98,7 +103,7 @@
         self.assertEqual(self.entry.rates, [1.9, None])
 
     def test_a_replica_that_was_cut_off_is_told_again(self):
-        with patch.object(_limit_news, "REPEAT_S", 0.5):
+        with patch.object(_limit_news, "RESEND_PERIOD_S", 0.5):
             self.play(lambda: self.news.take(limit(1.9)), for_s=1.2)
         self.assertEqual(len(self.calls.told), 3 * len(OTHERS))
 
@@ -133,30 +138,30 @@
 
     def test_entries_are_told_of_each_other_and_of_the_replicas(self):
         one, two = Follower("e1"), Follower("e2")
-        self.play(({one, two}, SETTLE_S + LOOK_PAUSE_S / 2))
+        self.play(({one, two}, STARTUP_DELAY_S + CHECK_PERIOD_S / 2))
         group = one.messages[0].group
         self.assertEqual(group.entries, {"e1", "e2"})
         self.assertEqual((group.name, group.groups), (OWN, set(ADDRESSES)))
 
     def test_a_replica_that_has_just_started_waits_for_its_entries(self):
         one, two = Follower("e1"), Follower("e2")
-        self.play(({one}, SETTLE_S / 2), ({one, two}, SETTLE_S))
+        self.play(({one}, STARTUP_DELAY_S / 2), ({one, two}, STARTUP_DELAY_S))
         self.assertEqual(self.told(one)[0], ["e1", "e2"])
 
     def test_a_list_is_told_once(self):
         one = Follower("e1")
-        self.play(({one}, SETTLE_S + 10 * LOOK_PAUSE_S))
+        self.play(({one}, STARTUP_DELAY_S + 10 * CHECK_PERIOD_S))
         self.assertEqual(self.told(one), [["e1"]])
 
     def test_an_entry_that_starts_again_changes_nothing_for_the_others(self):
         one, two, again = Follower("e1"), Follower("e2"), Follower("e2")
-        settled_s = SETTLE_S + 2 * LOOK_PAUSE_S
+        settled_s = STARTUP_DELAY_S + 2 * CHECK_PERIOD_S
         self.play(({one, two}, settled_s), ({one}, 5.0), ({one, again}, 5.0))
         self.assertEqual(self.told(one), [["e1", "e2"]])
         self.assertEqual(self.told(again), [["e1", "e2"]])
 
     def test_an_entry_that_is_gone_gives_its_part_up_after_a_while(self):
         one, two = Follower("e1"), Follower("e2")
-        gone_s = KEPT_MS / 1000 + 2 * LOOK_PAUSE_S
-        self.play(({one, two}, SETTLE_S + LOOK_PAUSE_S), ({one}, gone_s))
+        gone_s = RETENTION_MS / 1000 + 2 * CHECK_PERIOD_S
+        self.play(({one, two}, STARTUP_DELAY_S + CHECK_PERIOD_S), ({one}, gone_s))
         self.assertEqual(self.told(one), [["e1", "e2"], ["e1"]])
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -8,7 +8,7 @@
 from cinderway._ids import Address, DataHall, RequestDigest
 from cinderway.catalog import CATALOG, AnnounceReplica, CatalogMachine, encode_command
 from cinderway.control import _poison_news
-from cinderway.control._poison_news import PoisonNews
+from cinderway.control._poison_news import PoisonGossip
 from cinderway.poison import EndedRun, RequestRulings, RequestRuns, Standing
 
 ADDRESSES = ("10.1.0.1:7100", "10.1.0.2:7100", "10.2.0.1:7100")
@@ -42,14 +42,14 @@
             self.standings += [line.standing for line in message.lines]
 
 
-class PoisonNewsTests(unittest.TestCase):
+class PoisonGossipTests(unittest.TestCase):
     def setUp(self):
         machine = CatalogMachine()
         for index, address in enumerate(ADDRESSES, 1):
             own = AnnounceReplica(Address(address), DataHall("suva"), Address("x:1"))
             machine.apply(index, encode_command(own))
         self.calls, self.entry = Calls(), Follower()
-        self.news = PoisonNews(OWN, machine, self.calls, lambda: {self.entry})
+        self.news = PoisonGossip(OWN, machine, self.calls, lambda: {self.entry})
 
     def play(self, *steps, is_enough):
         """Take what is told, and run until enough of it was passed on."""
@@ -101,12 +101,12 @@
         def rulings_told():
             return [m for _, m in self.calls.told if isinstance(m, RequestRulings)]
 
-        with patch.object(_poison_news, "REPEAT_S", 0.001):
+        with patch.object(_poison_news, "RESEND_PERIOD_S", 0.001):
             self.play(
                 lambda: self.news.take_runs(ends("a", "b", "c")),
                 is_enough=lambda: len(rulings_told()) >= 4,
             )
-        started_again = PoisonNews(OTHERS[0], CatalogMachine(), Calls(), set)
+        started_again = PoisonGossip(OTHERS[0], CatalogMachine(), Calls(), set)
         started_again.learn(rulings_told()[0])
         (line,) = started_again.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -10,7 +10,7 @@
     encode_command,
 )
 from cinderway.catalog._machine import REFUSED_LIMIT
-from cinderway.control._poison_store import due_commands, ruling_of
+from cinderway.control._poison_store import build_due_commands, build_ruling
 from cinderway.poison import REFUSED_FOR_MS, REMEMBERED_MS, PoisonTally, Standing
 
 D = RequestDigest(b"d" * 16)
@@ -19,7 +19,7 @@
 
 def stored(machine, tally, now_ms=0, wall_ms=WALL_MS):
     """Let the group commit all that is due; return how many commands that were."""
-    due = list(due_commands(tally.rulings(now_ms), machine, now_ms, wall_ms))
+    due = list(build_due_commands(tally.rulings(now_ms), machine, now_ms, wall_ms))
     for command in due:
         machine.apply(1, encode_command(command))
     return len(due)
@@ -42,7 +42,7 @@
         """Return how the request stands for a replica that knows the snapshot only."""
         tally = PoisonTally()
         for refused in started_again(self.machine).refused.values():
-            tally.learn(ruling_of(refused, now_ms, wall_ms), now_ms)
+            tally.learn(build_ruling(refused, now_ms, wall_ms), now_ms)
         return tally.standing_of(D, now_ms)
 
     def test_what_is_refused_is_stored_once(self):
@@ -65,7 +65,7 @@
     def test_what_has_been_over_for_long_is_forgotten(self):
         stored(self.machine, self.tally)
         over_ms = WALL_MS + REFUSED_FOR_MS + REMEMBERED_MS
-        due = list(due_commands([], self.machine, 0, over_ms))
+        due = list(build_due_commands([], self.machine, 0, over_ms))
         self.assertEqual(due, [AllowRequest(D)])
 
     def test_a_watched_request_is_not_stored(self):
--- a/tests/control/test_refused_heartbeats.py
+++ b/tests/control/test_refused_heartbeats.py
@@ -1,7 +1,10 @@
 import unittest
 
 from cinderway._ids import ServerName
-from cinderway.control._refused_heartbeats import SERVERS_KEPT, RefusedHeartbeats
+from cinderway.control._refused_heartbeats import (
+    MAX_REMEMBERED_SERVERS,
+    RefusedHeartbeats,
+)
 
 
 class RefusedHeartbeatsTests(unittest.TestCase):
@@ -10,15 +13,17 @@
 
     def test_a_reason_is_said_once_of_each_server(self):
         for server in ("i-1", "i-2"):
-            self.assertTrue(self.refused.is_news(ServerName(server), "no slots"))
-            self.assertFalse(self.refused.is_news(ServerName(server), "no slots"))
+            self.assertTrue(self.refused.record_refusal(ServerName(server), "no slots"))
+            self.assertFalse(
+                self.refused.record_refusal(ServerName(server), "no slots")
+            )
         self.assertEqual(self.refused.count, 4)
 
     def test_another_reason_is_said(self):
-        self.refused.is_news(ServerName("i-1"), "no slots")
-        self.assertTrue(self.refused.is_news(ServerName("i-1"), "no address"))
+        self.refused.record_refusal(ServerName("i-1"), "no slots")
+        self.assertTrue(self.refused.record_refusal(ServerName("i-1"), "no address"))
 
     def test_what_is_remembered_is_bounded(self):
-        for number in range(3 * SERVERS_KEPT):
-            self.refused.is_news(ServerName(f"i-{number}"), "no slots")
-        self.assertEqual(len(self.refused._said), SERVERS_KEPT)
+        for number in range(3 * MAX_REMEMBERED_SERVERS):
+            self.refused.record_refusal(ServerName(f"i-{number}"), "no slots")
+        self.assertEqual(len(self.refused._last_reasons), MAX_REMEMBERED_SERVERS)
--- a/tests/control/test_verdict_news.py
+++ b/tests/control/test_verdict_news.py
@@ -4,7 +4,7 @@
 
 from cinderway._ids import DataHall
 from cinderway.catalog import CATALOG, VerdictBatch, VerdictLine
-from cinderway.control._verdict_news import SHARES_PAUSE_MS, VerdictNews
+from cinderway.control._verdict_news import SHARE_UPDATE_PERIOD_MS, VerdictThrottle
 
 SUVA, NADI = DataHall("suva"), DataHall("nadi")
 
@@ -13,31 +13,31 @@
     return VerdictBatch([VerdictLine("s", "i-1", is_ejected, share, "slow", 0.0)], [])
 
 
-class VerdictNewsTests(unittest.TestCase):
+class VerdictThrottleTests(unittest.TestCase):
     def setUp(self):
-        self.news = VerdictNews()
-        self.news.take({SUVA: batch(0.5)}, 0)
+        self.news = VerdictThrottle()
+        self.news.update({SUVA: batch(0.5)}, 0)
 
     def told(self, hall=SUVA):
-        frame = self.news.frame_for(hall)
+        frame = self.news.get_frame(hall)
         return CATALOG.decode(frame, peer="x").message if frame else None
 
     def test_the_first_batch_is_told(self):
         self.assertEqual(self.told(), batch(0.5))
 
     def test_a_share_that_moves_waits(self):
-        self.news.take({SUVA: batch(0.6)}, SHARES_PAUSE_MS - 1)
+        self.news.update({SUVA: batch(0.6)}, SHARE_UPDATE_PERIOD_MS - 1)
         self.assertEqual(self.told(), batch(0.5))
-        self.news.take({SUVA: batch(0.7)}, SHARES_PAUSE_MS)
+        self.news.update({SUVA: batch(0.7)}, SHARE_UPDATE_PERIOD_MS)
         self.assertEqual(self.told(), batch(0.7))
 
     def test_an_ejection_does_not_wait_and_neither_does_its_end(self):
-        self.news.take({SUVA: batch(0.0, is_ejected=True)}, 1)
+        self.news.update({SUVA: batch(0.0, is_ejected=True)}, 1)
         self.assertEqual(self.told(), batch(0.0, is_ejected=True))
-        self.news.take({SUVA: batch(0.1)}, 2)
+        self.news.update({SUVA: batch(0.1)}, 2)
         self.assertEqual(self.told(), batch(0.1))
 
     def test_a_hall_of_which_nothing_is_judged_is_told_nothing(self):
         self.assertIsNone(self.told(NADI))
-        self.news.take({NADI: batch()}, 1)
+        self.news.update({NADI: batch()}, 1)
         self.assertIsNone(self.told(SUVA))
