--- a/tests/control/test_allowances.py
+++ b/tests/control/test_allowances.py
@@ -1,4 +1,4 @@
-"""Shares of replicas, loans between them, and the bound over all of them."""
+"""Shares of replicas, loans between them, and the limit over all of them."""
 
 import unittest
 from unittest.mock import patch
@@ -26,7 +26,7 @@
 RULES = AllowanceRules(WINDOW_MS)
 
 
-class Machine:
+class ModelMachine:
     """A catalog with one account and some replicas."""
 
     def __init__(self, addresses, row=ROW):
@@ -37,38 +37,40 @@
         }
 
 
-class Calls:
-    """Calls between replicas that are answered at once, unless cut."""
+class ModelCalls:
+    """Calls between replicas, answered at once unless one of the two is partitioned."""
 
     def __init__(self, group):
         self.group = group
-        self.cut = set()
+        self.partitioned = set()
         self.refused = 0
         self.pause_s = 0
 
     async def call(self, address, message, timeout_s):
-        if address in self.cut or message.replica in self.cut:
+        if address in self.partitioned or message.replica in self.partitioned:
             self.refused += 1
-            raise CinderwayError(ErrorCode.PEER_UNREACHABLE, "cut", step=Step.CONNECT)
+            raise CinderwayError(
+                ErrorCode.PEER_UNREACHABLE, "partitioned", step=Step.CONNECT
+            )
         answer = self.group[address].grant(None, message, self.group.now_ms)
         await anyio.sleep(self.pause_s)
         return answer
 
 
-class Group(dict):
-    """Replicas by address, in a time of their own."""
+class ModelGroup(dict):
+    """Replicas by address, with a simulated clock."""
 
     def __init__(self, size):
         super().__init__()
         self.now_ms = 0
-        self.calls = Calls(self)
+        self.calls = ModelCalls(self)
         self.addresses = [Address(f"r{number}") for number in range(size)]
         for address in self.addresses:
             self.start(address)
 
     def start(self, address):
         standing = Standing(True, len(self.addresses))
-        machine = Machine(self.addresses)
+        machine = ModelMachine(self.addresses)
         self[address] = Allowances(
             address, machine, self.calls, RULES, lambda: standing
         )
@@ -88,7 +90,7 @@
 
 class ShareTests(unittest.TestCase):
     def test_each_replica_hands_out_its_share_and_no_more(self):
-        group = Group(3)
+        group = ModelGroup(3)
         for address in group.addresses:
             answer = group[address].grant("e", ask(needed=60, wanted=60), 0)
             self.assertEqual(answer.lines[0].granted, LIMIT // 3)
@@ -97,23 +99,23 @@
         self.assertEqual(Standing(False, 5).share, 0)
 
     def test_an_account_that_the_replica_does_not_know_yet_may_ask_again_soon(self):
-        found = Group(1)["r0"].grant(
+        found = ModelGroup(1)["r0"].grant(
             "e", AskAllowances([HeldAllowance("new", needed=1)]), 0
         )
         self.assertEqual(found.lines[0].granted, 0)
         self.assertLess(found.lines[0].room_in_ms, 1_000)
 
-    def test_what_one_replica_lacks_it_borrows(self):
-        group = Group(3)
+    def test_a_replica_that_lacks_tokens_borrows_them(self):
+        group = ModelGroup(3)
         group["r0"].grant("e", ask(needed=20, wanted=20), 0)
         self.assertEqual(group["r0"].grant("f", ask(needed=1), 0).lines[0].granted, 0)
         anyio.run(group.borrow, "r0")
-        # From each of the others what it keeps for no need of its own.
+        # Each of the others lends what it does not reserve for its own needs.
         found = group["r0"].grant("f", ask(needed=40, wanted=40), 0)
         self.assertGreater(found.lines[0].granted, 0)
 
     def test_a_request_that_waits_for_a_token_gets_one_that_others_have(self):
-        group = Group(3)
+        group = ModelGroup(3)
         asked = ask(needed=28, wanted=28)
         first = group["r0"].grant("e", asked, 0)
         self.assertEqual(first.lines[0].granted, 20)
@@ -121,16 +123,16 @@
         self.assertEqual(whole.lines[0].granted, 28)
 
     def test_a_replica_that_does_not_answer_is_not_waited_for_again_at_once(self):
-        group = Group(2)
-        group.calls.cut.add("r1")
+        group = ModelGroup(2)
+        group.calls.partitioned.add("r1")
         for holder in ("e", "f"):
             asked = ask(needed=31, wanted=31)
             first = group["r0"].grant(holder, asked, 0)
             anyio.run(group["r0"].complete, holder, asked, first)
         self.assertEqual(group.calls.refused, 1)
 
-    def test_loans_that_are_asked_for_at_once_are_all_counted_by_the_lender(self):
-        group = Group(2)
+    def test_concurrent_loans_are_all_counted_by_the_lender(self):
+        group = ModelGroup(2)
         group.calls.pause_s = 0.001
 
         async def scenario():
@@ -147,8 +149,8 @@
         self.assertGreaterEqual(borrowed, 6 + 5)
         self.assertEqual(group["r1"].charged("acme", 0), borrowed)
 
-    def test_what_was_lent_is_not_borrowed_back(self):
-        group = Group(2)
+    def test_lent_tokens_are_not_borrowed_back(self):
+        group = ModelGroup(2)
         group["r0"].grant("e", ask(needed=30, wanted=30), 0)
         first = group["r0"].grant("f", ask(needed=25), 0)
         anyio.run(group["r0"].complete, "f", ask(needed=25), first)
@@ -156,8 +158,8 @@
         anyio.run(group.borrow, "r1")
         self.assertEqual(group["r1"].uses(0)[0].borrowed, 0)
 
-    def test_an_account_that_is_not_used_is_forgotten(self):
-        group = Group(1)
+    def test_an_idle_account_is_removed(self):
+        group = ModelGroup(1)
         group["r0"].grant("e", ask(needed=1, wanted=1), 0)
         self.assertEqual(group["r0"].accounts_in_use, 1)
         group["r0"].forget_idle(LEASE_MS + WINDOW_MS + 1)
@@ -168,19 +170,19 @@
 ENTRY = st.integers(0, SIZE - 1)
 STEPS = st.one_of(
     st.tuples(st.just("use"), ENTRY, st.integers(1, 4)),
-    st.tuples(st.just("tell"), ENTRY, st.integers(0, 6)),
+    st.tuples(st.just("report"), ENTRY, st.integers(0, 6)),
     st.tuples(st.just("borrow"), ENTRY),
-    st.tuples(st.just("cut"), ENTRY),
-    st.tuples(st.just("mend"), ENTRY),
+    st.tuples(st.just("partition"), ENTRY),
+    st.tuples(st.just("heal"), ENTRY),
     st.tuples(st.just("advance"), st.sampled_from([50, 500, 2_000, 4_500])),
 )
 
 
-class Fleet:
-    """One entry at each replica; replicas are cut from each other, entries are not."""
+class ModelFleet:
+    """One entry per replica; only replicas are partitioned, entries reach theirs."""
 
     def __init__(self):
-        self.group = Group(SIZE)
+        self.group = ModelGroup(SIZE)
         self.leases = [AllowanceLease(window_ms=WINDOW_MS) for _ in range(SIZE)]
         self.used_at_ms = []
 
@@ -189,7 +191,7 @@
             if self.leases[entry].take(self.group.now_ms):
                 self.used_at_ms.append(self.group.now_ms)
 
-    def tell(self, entry, waiting):
+    def report(self, entry, waiting):
         lease, now_ms = self.leases[entry], self.group.now_ms
         lease.waiting = waiting
         asked = AskAllowances([HeldAllowance.of("acme", lease.begin_ask(now_ms))])
@@ -202,21 +204,21 @@
     def borrow(self, entry):
         anyio.run(self.group.borrow, self.group.addresses[entry])
 
-    def cut(self, entry):
-        self.group.calls.cut.add(self.group.addresses[entry])
+    def partition(self, entry):
+        self.group.calls.partitioned.add(self.group.addresses[entry])
 
-    def mend(self, entry):
-        self.group.calls.cut.discard(self.group.addresses[entry])
+    def heal(self, entry):
+        self.group.calls.partitioned.discard(self.group.addresses[entry])
 
     def advance(self, by_ms):
         self.group.now_ms += by_ms
 
 
-class BoundTests(unittest.TestCase):
+class LimitTests(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(st.lists(STEPS, max_size=60))
-    def test_no_window_holds_more_than_the_limit_whatever_is_cut(self, steps):
-        fleet = Fleet()
+    def test_no_window_exceeds_the_limit_under_any_partition(self, steps):
+        fleet = ModelFleet()
         for name, *arguments in steps:
             getattr(fleet, name)(*arguments)
         times_ms = fleet.used_at_ms
--- a/tests/control/test_catalog_http.py
+++ b/tests/control/test_catalog_http.py
@@ -1,4 +1,4 @@
-"""Heartbeats of backend servers, as control's HTTP interface takes them."""
+"""Heartbeats of backend servers at control's HTTP interface."""
 
 import json
 import unittest
@@ -11,8 +11,8 @@
 from cinderway.control._displaced_heard import ALIVE_AFTER_MS, DisplacedLiveness
 
 
-class Commands:
-    """Applies what is submitted at once, as a group of one would."""
+class ModelCommands:
+    """Applies submitted commands at once, as a group of one replica would."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -23,8 +23,8 @@
         self.machine.apply(len(self.submitted), encode_command(command))
 
 
-class HeardLongAgo(DisplacedLiveness):
-    """Has heard each server since long before."""
+class AlwaysAlive(DisplacedLiveness):
+    """Treats each server as if it had sent heartbeats for long."""
 
     def record_heartbeat(self, server, now_ms):
         super().record_heartbeat(server, now_ms - ALIVE_AFTER_MS)
@@ -34,7 +34,7 @@
 class HeartbeatTests(unittest.TestCase):
     def setUp(self):
         self.machine = CatalogMachine()
-        self.commands = Commands(self.machine)
+        self.commands = ModelCommands(self.machine)
         service = SimpleNamespace(machine=self.machine, commands=self.commands)
         self.http = CatalogHttp(service)
 
@@ -64,32 +64,32 @@
     def servers(self):
         return list(self.machine.registry.servers)
 
-    def test_a_start_heard_of_late_does_not_put_the_living_one_out_for_good(self):
+    def test_a_live_server_displaced_by_a_late_heartbeat_is_reinstated(self):
         self.call("PUT", "i-living")
         self.call("PUT", "i-over")
         self.assertEqual(self.servers(), ["i-over"])
-        self.http.liveness = HeardLongAgo()
+        self.http.liveness = AlwaysAlive()
         self.assertEqual(self.call("PUT", "i-living"), 200)
         self.assertEqual(self.servers(), ["i-living"])
 
-    def test_a_single_late_heartbeat_of_a_displaced_server_changes_nothing(self):
+    def test_a_single_late_heartbeat_does_not_reinstate_a_displaced_server(self):
         self.call("PUT", "i-over")
         self.call("PUT", "i-living")
         self.assertEqual(self.call("PUT", "i-over"), 200)
         self.assertEqual(self.servers(), ["i-living"])
 
-    def test_a_displaced_server_that_leaves_for_good_is_taken_at_its_word(self):
+    def test_a_displaced_server_that_deregisters_is_not_reinstated(self):
         self.call("PUT", "i-living")
         self.call("PUT", "i-over")
         self.call("DELETE", "i-living")
-        self.http.liveness = HeardLongAgo()
+        self.http.liveness = AlwaysAlive()
         self.call("PUT", "i-living")
         self.assertEqual(self.servers(), ["i-over"])
         self.assertEqual(
             self.commands.submitted, ["Register", "Register", "Deregister"]
         )
 
-    def test_registered_servers_are_listed_with_their_starts(self):
+    def test_registered_servers_are_listed_with_their_start_times(self):
         self.call("PUT", "i-1")
         listed = json.loads(
             anyio.run(self.http._answer, ("GET", "/v1/servers"), None).body
@@ -97,9 +97,7 @@
         found = [(row["server_id"], row["started_at_ms"]) for row in listed]
         self.assertEqual(found, [("i-1", 0)])
 
-    def test_a_heartbeat_that_says_what_no_server_is_moves_nobody_and_is_told_once(
-        self,
-    ):
+    def test_an_invalid_heartbeat_displaces_no_server_and_is_logged_once(self):
         self.call("PUT", "i-1")
         with self.assertLogs("cinderway", "INFO") as logs:
             for _ in range(3):
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -15,16 +15,16 @@
 from cinderway.experiment._virtual_time import run_in_virtual_time
 
 
-class Sent:
-    """A connection that keeps what is sent on it."""
+class RecordingConnection:
+    """A connection that records the messages sent on it."""
 
     def __init__(self):
         self.messages = []
         self.frames = []
-        self.takes_nothing = False
+        self.accepts_nothing = False
 
     async def send(self, message, call_id=0):
-        if self.takes_nothing:
+        if self.accepts_nothing:
             await anyio.sleep_forever()
         self.messages.append(message)
 
@@ -40,7 +40,7 @@
         self.machine = CatalogMachine()
         self.machine.apply(1, encode_command(self.sheet(1)))
         self.has_caught_up = False
-        self.sent = Sent()
+        self.sent = RecordingConnection()
         self.follower = Follower(
             EntryName("e1"),
             DataHall("suva"),
@@ -69,26 +69,26 @@
         self.has_caught_up = True
         self.follower.wake()
 
-    def test_a_replica_that_may_lack_changes_shows_no_catalog(self):
+    def test_a_replica_that_has_not_caught_up_sends_no_catalog(self):
         anyio.run(self.feed_until_blocked)
         self.assertEqual(self.sent.kinds(), {CatalogHeartbeat})
 
-    def test_news_is_sent_in_the_order_in_which_it_was_told(self):
-        def tell():
+    def test_frames_are_sent_in_the_order_in_which_they_were_queued(self):
+        def queue_frames():
             self.follower.tell_news([b"suspects", b"loads"])
             self.follower.tell_news([b"suspects again"])
 
-        anyio.run(self.feed_until_blocked, tell)
+        anyio.run(self.feed_until_blocked, queue_frames)
         self.assertEqual(self.sent.frames, [b"suspects", b"loads", b"suspects again"])
 
-    def test_verdicts_that_stay_the_same_are_sent_once(self):
-        def tell():
+    def test_unchanged_verdicts_are_sent_once(self):
+        def queue_verdicts():
             self.follower.tell_verdicts(b"verdicts")
 
-        anyio.run(self.feed_until_blocked, tell, tell)
+        anyio.run(self.feed_until_blocked, queue_verdicts, queue_verdicts)
         self.assertEqual(self.sent.frames, [b"verdicts"])
 
-    async def tell_news_all_the_time(self):
+    async def queue_frames_continuously(self):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.follower.feed)
             for _ in range(100):
@@ -96,8 +96,8 @@
                 await anyio.sleep(4.5 * HEARTBEAT_S / 100)
             tasks.cancel_scope.cancel()
 
-    def test_news_in_between_does_not_put_the_next_heartbeat_off(self):
-        run_in_virtual_time(self.tell_news_all_the_time)
+    def test_other_messages_do_not_delay_the_next_heartbeat(self):
+        run_in_virtual_time(self.queue_frames_continuously)
         kinds = [type(message) for message in self.sent.messages]
         self.assertEqual(kinds, [CatalogHeartbeat] * 5)
         self.assertEqual(len(self.sent.frames), 100)
@@ -113,27 +113,27 @@
             await anyio.sleep(2 * UPDATE_PERIOD_MS / 1000)
             tasks.cancel_scope.cancel()
 
-    def test_changes_that_come_close_together_are_sent_together(self):
+    def test_changes_in_quick_succession_are_sent_together(self):
         run_in_virtual_time(self.change_often)
         updates = [m for m in self.sent.messages if isinstance(m, CatalogUpdate)]
         self.assertLessEqual(len(updates), 1_000 // UPDATE_PERIOD_MS + 2)
         self.assertEqual(updates[-1].revision, 101)
 
-    async def stop_taking(self):
-        self.sent.takes_nothing = True
+    async def stop_accepting(self):
+        self.sent.accepts_nothing = True
         await self.follower.feed()
 
-    def test_an_entry_that_takes_nothing_is_given_up(self):
+    def test_feeding_an_entry_that_accepts_nothing_times_out(self):
         with self.assertRaises(TimeoutError):
-            run_in_virtual_time(self.stop_taking)
+            run_in_virtual_time(self.stop_accepting)
 
-    def test_once_it_has_caught_up_it_shows_the_catalog_at_once(self):
+    def test_the_catalog_is_sent_as_soon_as_the_replica_has_caught_up(self):
         anyio.run(self.feed_until_blocked, self.catch_up)
         self.assertEqual(self.sent.kinds(), {CatalogHeartbeat, CatalogUpdate})
         self.assertEqual(self.follower.known_revision, 1)
 
-    def test_an_update_comes_with_its_age(self):
-        """Without it a new entry answered 503 for what it could have answered 404."""
+    def test_an_update_is_followed_by_its_age(self):
+        """Without it a new entry answered 503 to requests that it could answer 404."""
         anyio.run(self.feed_until_blocked, self.catch_up)
         kinds = [type(message) for message in self.sent.messages]
         self.assertEqual(kinds, [CatalogHeartbeat, CatalogUpdate, CatalogHeartbeat])
--- a/tests/control/test_hall_assessor.py
+++ b/tests/control/test_hall_assessor.py
@@ -44,7 +44,7 @@
     return machine
 
 
-def batch(entry, bad=(), good=()):
+def build_batch(entry, bad=(), good=()):
     found = [ServerEvidence(LOOKUP, name, error=1) for name in bad]
     found += [ServerEvidence(LOOKUP, name, good=1) for name in good]
     return EvidenceBatch(entry, DataHall("suva"), msgspec.msgpack.encode(found), [], [])
@@ -59,49 +59,49 @@
         return HallAssessor(JudgementRules(Bias.BALANCED, floor_percent))
 
     def observe(self, assessor, bad, rounds=8):
-        """Let all entries see some servers fail and the others do well."""
+        """Let all entries see some servers fail and the others succeed."""
         good = [name for name in SERVERS if name not in bad]
         for _ in range(rounds):
             for entry in ENTRIES:
                 self.now_ms += 20
-                assessor.record_evidence(batch(entry, bad, good), self.now_ms)
+                assessor.record_evidence(build_batch(entry, bad, good), self.now_ms)
         return assessor.decide(self.catalog, self.now_ms)["suva"].lines
 
     def test_a_server_that_entries_see_fail_is_ejected(self):
         lines = self.observe(self.assessor(), SERVERS[:1])
         self.assertEqual([(li.server, li.is_ejected) for li in lines], [("i-1", True)])
 
-    def test_what_one_entry_alone_sees_ejects_nobody(self):
+    def test_failures_seen_by_one_entry_alone_eject_no_server(self):
         assessor = self.assessor()
         for _ in range(8):
             for entry in ENTRIES[1:]:
-                assessor.record_evidence(batch(entry, (), SERVERS), self.now_ms)
-            assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), self.now_ms)
+                assessor.record_evidence(build_batch(entry, (), SERVERS), self.now_ms)
+            assessor.record_evidence(build_batch(ENTRIES[0], SERVERS[:1]), self.now_ms)
         self.assertEqual(assessor.decide(self.catalog, self.now_ms)["suva"].lines, [])
 
-    def test_the_floor_keeps_servers_in(self):
+    def test_the_floor_prevents_ejections(self):
         lines = self.observe(self.assessor(floor_percent=100), SERVERS[:1])
         self.assertFalse(any(line.is_ejected for line in lines))
 
-    def test_each_failure_makes_a_new_suspect_once(self):
+    def test_a_new_suspect_is_returned_once(self):
         assessor = self.assessor()
-        assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), 100)
-        told = assessor.new_suspects(100)
-        self.assertEqual(told.servers, ["i-1"])
+        assessor.record_evidence(build_batch(ENTRIES[0], SERVERS[:1]), 100)
+        suspects = assessor.new_suspects(100)
+        self.assertEqual(suspects.servers, ["i-1"])
         self.assertIsNone(assessor.new_suspects(100))
-        assessor.record_evidence(batch(ENTRIES[1], SERVERS[:1]), 100)
+        assessor.record_evidence(build_batch(ENTRIES[1], SERVERS[:1]), 100)
         self.assertIsNone(assessor.new_suspects(100))
 
-    def test_two_suspects_of_one_moment_are_both_told(self):
+    def test_two_suspects_at_the_same_time_are_both_returned(self):
         assessor = self.assessor()
-        assessor.record_evidence(batch(ENTRIES[0], SERVERS[:1]), 100)
+        assessor.record_evidence(build_batch(ENTRIES[0], SERVERS[:1]), 100)
         self.assertEqual(assessor.new_suspects(100).servers, ["i-1"])
-        assessor.record_evidence(batch(ENTRIES[0], SERVERS[1:2]), 100)
+        assessor.record_evidence(build_batch(ENTRIES[0], SERVERS[1:2]), 100)
         self.assertEqual(assessor.new_suspects(100).servers, ["i-2"])
 
     def suspects_after(self, evidence):
         assessor = self.assessor()
-        sent = batch(ENTRIES[0])
+        sent = build_batch(ENTRIES[0])
         sent = msgspec.structs.replace(sent, servers=msgspec.msgpack.encode([evidence]))
         assessor.record_evidence(sent, 100)
         return assessor.new_suspects(100)
@@ -124,26 +124,26 @@
             answer_times_ms=times_ms,
         )
         sent = msgspec.structs.replace(
-            batch(ENTRIES[0]), servers=msgspec.msgpack.encode([evidence])
+            build_batch(ENTRIES[0]), servers=msgspec.msgpack.encode([evidence])
         )
         assessor.record_evidence(sent, self.now_ms)
         return assessor.decide(self.catalog, self.now_ms)["suva"].paces
 
-    def test_entries_are_told_how_long_a_service_takes(self):
+    def test_entries_are_sent_the_response_times_of_a_service(self):
         (pace,) = self.answer(self.assessor(), list(range(1, 101)))
         self.assertEqual((pace.usual_ms, pace.slow_ms, pace.late_ms), (50, 90, 95))
 
-    def test_a_few_answers_do_not_tell_how_long_a_service_takes(self):
+    def test_too_few_answers_give_no_response_times(self):
         self.assertEqual(self.answer(self.assessor(), [100] * 10), [])
 
-    def test_entries_are_told_again_only_when_it_has_moved_by_a_good_part(self):
+    def test_response_times_are_sent_again_only_after_a_large_change(self):
         assessor = self.assessor()
         (first,) = self.answer(assessor, [100] * 50)
         self.assertEqual(self.answer(assessor, [110] * 100), [first])
         (moved,) = self.answer(assessor, [200] * 500)
         self.assertEqual(moved.usual_ms, 200)
 
-    def test_what_a_service_took_long_ago_is_forgotten(self):
+    def test_old_response_times_are_forgotten(self):
         assessor = self.assessor()
         self.answer(assessor, [100] * 50)
         for _ in range(2):
@@ -152,7 +152,7 @@
         self.assertEqual(pace.usual_ms, 250)
 
     def serve(self, assessor, slow_ms, rounds=3):
-        """Let all entries get answers, in 100 ms but from the first server."""
+        """Let all entries get answers in 100 ms, except from the first server."""
         for _ in range(rounds):
             self.now_ms += 100
             for entry in ENTRIES:
@@ -167,7 +167,7 @@
                     for name in SERVERS
                 ]
                 sent = msgspec.structs.replace(
-                    batch(entry), servers=msgspec.msgpack.encode(found)
+                    build_batch(entry), servers=msgspec.msgpack.encode(found)
                 )
                 assessor.record_evidence(sent, self.now_ms)
         lines = assessor.decide(self.catalog, self.now_ms)["suva"].lines
@@ -179,7 +179,7 @@
         self.assertEqual(self.serve(assessor, slow_ms=320.0, rounds=9), {"i-1": 0.5})
         self.assertEqual(self.serve(assessor, slow_ms=900.0, rounds=9), {"i-1": 0.25})
 
-    def test_it_gets_its_whole_weight_back_within_seconds(self):
+    def test_a_server_that_is_no_longer_slow_regains_its_weight_within_seconds(self):
         assessor = self.assessor()
         self.serve(assessor, slow_ms=400.0)
         self.now_ms += 4_000
@@ -193,7 +193,7 @@
             for name in SERVERS[1:]
         ]
         sent = msgspec.structs.replace(
-            batch(ENTRIES[0]), servers=msgspec.msgpack.encode(found)
+            build_batch(ENTRIES[0]), servers=msgspec.msgpack.encode(found)
         )
         assessor.record_evidence(sent, 100)
         self.assertEqual(assessor.decide(self.catalog, 100)["suva"].lines, [])
--- a/tests/control/test_in_flight.py
+++ b/tests/control/test_in_flight.py
@@ -9,13 +9,13 @@
 REPORTS = st.tuples(
     st.sampled_from(SOURCES), st.sampled_from(SERVERS), st.integers(0, 4)
 )
-# None stands for a teller that is gone.
+# None stands for a source that has disconnected.
 EVENTS = st.lists(st.one_of(REPORTS, st.tuples(st.sampled_from(SOURCES), st.none())))
 
 
 class InFlightCountsTests(unittest.TestCase):
     @given(EVENTS)
-    def test_the_total_is_the_sum_of_each_tellers_last_word(self, events):
+    def test_the_total_is_the_sum_of_each_sources_last_report(self, events):
         in_flight, last = InFlightCounts(), {}
         for source, *report in events:
             if report[0] is None:
@@ -30,7 +30,7 @@
         for server in SERVERS:
             self.assertEqual(in_flight.total(server), totals[server])
 
-    def test_a_teller_that_is_gone_names_the_servers_that_this_concerns(self):
+    def test_removing_a_source_returns_the_servers_of_its_counts(self):
         in_flight = InFlightCounts()
         in_flight.record("e1", "i-1", 2)
         in_flight.record("e1", "i-2", 1)
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -1,4 +1,4 @@
-"""Which requests replicas and entries hear of, and from whom."""
+"""Which ended runs and rulings are sent to replicas and entries."""
 
 import unittest
 from unittest.mock import patch
@@ -13,25 +13,25 @@
 
 ADDRESSES = ("10.1.0.1:7100", "10.1.0.2:7100", "10.2.0.1:7100")
 OWN, *OTHERS = ADDRESSES
-D = RequestDigest(b"d" * 16)
+DIGEST = RequestDigest(b"d" * 16)
 
 
-def ends(*servers):
-    return RequestRuns([EndedRun(D, server) for server in servers], [])
+def build_runs(*servers):
+    return RequestRuns([EndedRun(DIGEST, server) for server in servers], [])
 
 
-class Calls:
-    """Keeps what is told to which replica."""
+class RecordingCalls:
+    """Records the messages sent to each replica."""
 
     def __init__(self):
-        self.told = []
+        self.sent = []
 
     async def call(self, address, message, timeout_s):
-        self.told.append((address, message))
+        self.sent.append((address, message))
 
 
-class Follower:
-    """An entry that follows; keeps how each request stands that it is told of."""
+class RecordingFollower:
+    """An entry that follows; records the standing of each ruling queued for it."""
 
     def __init__(self):
         self.standings = []
@@ -48,15 +48,15 @@
         for index, address in enumerate(ADDRESSES, 1):
             own = AnnounceReplica(Address(address), DataHall("suva"), Address("x:1"))
             machine.apply(index, encode_command(own))
-        self.calls, self.entry = Calls(), Follower()
-        self.news = PoisonGossip(OWN, machine, self.calls, lambda: {self.entry})
+        self.calls, self.entry = RecordingCalls(), RecordingFollower()
+        self.gossip = PoisonGossip(OWN, machine, self.calls, lambda: {self.entry})
 
     def play(self, *steps, is_enough):
-        """Take what is told, and run until enough of it was passed on."""
+        """Run the steps, and forward updates until `is_enough` returns true."""
 
         async def run():
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.news.run)
+                tasks.start_soon(self.gossip.run)
                 for step in steps:
                     step()
                 with anyio.fail_after(20):
@@ -67,50 +67,54 @@
 
         anyio.run(run)
 
-    def test_entries_hear_of_rulings_and_replicas_of_what_was_seen(self):
+    def test_entries_are_sent_rulings_and_replicas_are_sent_ended_runs(self):
         self.play(
-            lambda: self.news.take_runs(ends("a", "b", "c")),
-            is_enough=lambda: self.entry.standings and len(self.calls.told) == 2,
+            lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+            is_enough=lambda: self.entry.standings and len(self.calls.sent) == 2,
         )
         self.assertEqual(self.entry.standings, [Standing.REFUSED])
-        told = [(address, ends("a", "b", "c")) for address in OTHERS]
-        self.assertEqual(self.calls.told, told)
+        expected = [(address, build_runs("a", "b", "c")) for address in OTHERS]
+        self.assertEqual(self.calls.sent, expected)
 
-    def test_what_another_replica_tells_is_not_passed_on_to_replicas(self):
+    def test_runs_from_another_replica_are_not_forwarded_to_replicas(self):
         self.play(
-            lambda: self.news.hear_runs(ends("a", "b", "c")),
+            lambda: self.gossip.hear_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings,
         )
-        self.assertEqual(self.calls.told, [])
+        self.assertEqual(self.calls.sent, [])
 
-    def test_ends_that_different_replicas_entries_saw_are_counted_together(self):
-        self.news.take_runs(ends("a"))
-        self.news.hear_runs(ends("b", "c"))
-        (line,) = self.news.rulings().lines
+    def test_ended_runs_of_different_replicas_entries_are_counted_together(self):
+        self.gossip.take_runs(build_runs("a"))
+        self.gossip.hear_runs(build_runs("b", "c"))
+        (line,) = self.gossip.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
 
-    def test_a_good_answer_anywhere_clears_it_everywhere(self):
-        self.news.take_runs(ends("a", "b", "c"))
+    def test_a_good_answer_at_another_replica_clears_the_request(self):
+        self.gossip.take_runs(build_runs("a", "b", "c"))
         self.play(
-            lambda: self.news.hear_runs(RequestRuns([], [D])),
+            lambda: self.gossip.hear_runs(RequestRuns([], [DIGEST])),
             is_enough=lambda: self.entry.standings,
         )
         self.assertEqual(self.entry.standings, [Standing.CLEARED])
 
-    def test_replicas_are_told_again_what_is_in_force(self):
-        def rulings_told():
-            return [m for _, m in self.calls.told if isinstance(m, RequestRulings)]
+    def test_rulings_in_force_are_resent_to_replicas(self):
+        def sent_rulings():
+            return [m for _, m in self.calls.sent if isinstance(m, RequestRulings)]
 
         with patch.object(_poison_news, "RESEND_PERIOD_S", 0.001):
             self.play(
-                lambda: self.news.take_runs(ends("a", "b", "c")),
-                is_enough=lambda: len(rulings_told()) >= 4,
+                lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+                is_enough=lambda: len(sent_rulings()) >= 4,
             )
-        started_again = PoisonGossip(OTHERS[0], CatalogMachine(), Calls(), set)
-        started_again.learn(rulings_told()[0])
-        (line,) = started_again.rulings().lines
+        restarted = PoisonGossip(OTHERS[0], CatalogMachine(), RecordingCalls(), set)
+        restarted.learn(sent_rulings()[0])
+        (line,) = restarted.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
 
-    def test_without_rulings_nothing_is_repeated(self):
-        self.play(lambda: self.news.take_runs(ends("a")), is_enough=lambda: True)
-        self.assertEqual([m for _, m in self.calls.told], [ends("a"), ends("a")])
+    def test_without_rulings_nothing_is_resent(self):
+        self.play(
+            lambda: self.gossip.take_runs(build_runs("a")), is_enough=lambda: True
+        )
+        self.assertEqual(
+            [m for _, m in self.calls.sent], [build_runs("a"), build_runs("a")]
+        )
--- a/tests/control/test_refused_heartbeats.py
+++ b/tests/control/test_refused_heartbeats.py
@@ -11,7 +11,7 @@
     def setUp(self):
         self.refused = RefusedHeartbeats()
 
-    def test_a_reason_is_said_once_of_each_server(self):
+    def test_a_reason_is_new_once_for_each_server(self):
         for server in ("i-1", "i-2"):
             self.assertTrue(self.refused.record_refusal(ServerName(server), "no slots"))
             self.assertFalse(
@@ -19,11 +19,11 @@
             )
         self.assertEqual(self.refused.count, 4)
 
-    def test_another_reason_is_said(self):
+    def test_a_different_reason_is_new(self):
         self.refused.record_refusal(ServerName("i-1"), "no slots")
         self.assertTrue(self.refused.record_refusal(ServerName("i-1"), "no address"))
 
-    def test_what_is_remembered_is_bounded(self):
+    def test_the_number_of_remembered_servers_is_bounded(self):
         for number in range(3 * MAX_REMEMBERED_SERVERS):
             self.refused.record_refusal(ServerName(f"i-{number}"), "no slots")
         self.assertEqual(len(self.refused._last_reasons), MAX_REMEMBERED_SERVERS)
--- a/tests/control/test_retry_pools.py
+++ b/tests/control/test_retry_pools.py
@@ -22,10 +22,11 @@
             pools.acquire_retry(LOOKUP, entries=3, now_ms=WINDOW_MS - 1)
             for _ in "x" * 16
         ]
-        # Two for the requests, and all but the last moment's of four for each entry.
+        # Two for the requests, and four for each of three entries, less the part that
+        # the last millisecond of the window adds.
         self.assertEqual(granted, [True] * 13 + [False] * 3)
 
-    def test_without_requests_the_rest_comes_back_over_the_window(self):
+    def test_without_requests_the_extra_retries_accrue_over_the_window(self):
         pools = RetryPools(percent=0, extra_per_entry=4)
         self.assertFalse(pools.acquire_retry(LOOKUP, entries=1, now_ms=0))
         granted = [
