--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -74,11 +74,11 @@
         self.assertEqual(self.sent.kinds(), {CatalogHeartbeat})
 
     def test_frames_are_sent_in_the_order_in_which_they_were_queued(self):
-        def queue_frames():
+        def queue_batches():
             self.follower.tell_news([b"suspects", b"loads"])
             self.follower.tell_news([b"suspects again"])
 
-        anyio.run(self.feed_until_blocked, queue_frames)
+        anyio.run(self.feed_until_blocked, queue_batches)
         self.assertEqual(self.sent.frames, [b"suspects", b"loads", b"suspects again"])
 
     def test_unchanged_verdicts_are_sent_once(self):
@@ -88,7 +88,7 @@
         anyio.run(self.feed_until_blocked, queue_verdicts, queue_verdicts)
         self.assertEqual(self.sent.frames, [b"verdicts"])
 
-    async def queue_frames_continuously(self):
+    async def queue_continuously(self):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.follower.feed)
             for _ in range(100):
@@ -97,7 +97,7 @@
             tasks.cancel_scope.cancel()
 
     def test_other_messages_do_not_delay_the_next_heartbeat(self):
-        run_in_virtual_time(self.queue_frames_continuously)
+        run_in_virtual_time(self.queue_continuously)
         kinds = [type(message) for message in self.sent.messages]
         self.assertEqual(kinds, [CatalogHeartbeat] * 5)
         self.assertEqual(len(self.sent.frames), 100)
