--- a/src/cinderway/control/_allowances.py
+++ b/src/cinderway/control/_allowances.py
@@ -126,7 +126,7 @@
     def _find_missing(
         self, asked: AskAllowances, answer: GrantAllowances, now_ms: int
     ) -> dict[AccountName, int]:
-        """Return how many tokens of each account to ask other replicas for."""
+        """Return how many tokens of each account are worth asking others for."""
         missing = {}
         if asked.replica:
             return missing
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_news.py
@@ -264,7 +264,7 @@
 
 
 def _limit_for_other_halls(suspects: SuspectServers) -> SuspectServers:
-    """Limit the suspicions that are sent to other halls to one that fades once.
+    """Shorten suspicions for other halls to FADES_MS at most.
 
     A server may be unreachable from this hall alone; then other halls must not avoid it
     for long.
--- a/src/cinderway/control/_limit_news.py
+++ b/src/cinderway/control/_limit_news.py
@@ -1,4 +1,4 @@
-"""Distributes the rate limits that backend servers announce to replicas and entries."""
+"""Distributes the rate limits of backend servers to replicas and entries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass
 class LimitGossip:
-    """Forwards the rate limits that servers announced to entries."""
+    """Forwards the rate limits that entries have received from servers."""
 
     own_address: Address
     machine: CatalogMachine
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_news.py
@@ -175,7 +175,7 @@
         self.assertEqual(self.remote.suspects, [suspects(0)])
 
     def test_simultaneous_failures_are_sent_as_one_batch(self):
-        """Dozens of servers of a large hall fail each second, as seen by many entries."""
+        """In a big hall dozens of servers fail each second, each seen by one entry."""
         many = [SuspectServers([f"i-{index}"], [FADES_MS]) for index in range(50)]
         self.share(*((self.gossip.take_suspects, message) for message in many))
         self.assertEqual(self.local.batches, 1)
