--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -1,4 +1,7 @@
-"""Limits: retry budgets, bounded queues with deadlines, fairness among callers."""
+"""Load limits: retry budgets, admission control, connection limits, allowances.
+
+An allowance is the share of a client account's rate limit that one entry may use.
+"""
 
 from cinderway.limits._admission import Admission, Admitted, Refused
 from cinderway.limits._allowance_lease import AllowanceLease
--- a/src/cinderway/limits/_admission.py
+++ b/src/cinderway/limits/_admission.py
@@ -1,7 +1,8 @@
-"""Decide at once whether a request is taken, by queue, caller and deadline.
+"""Admission control by queue length, caller limit and deadline.
 
-Pure: counts and time come in, a decision goes out. A request is never queued that
-could not be answered in time; it is told so, with when to come back.
+Pure: the functions compute a decision from counts and times, without I/O. A request
+that could not be answered before its deadline is never queued: it is rejected at
+once, with the time after which the caller may retry.
 """
 
 from collections import Counter
@@ -13,18 +14,18 @@
 
 MINIMUM_RETRY_AFTER_S = 1
 MAXIMUM_RETRY_AFTER_S = 60
-# Weight of the newest answer in the running mean of service times.
+# Weight of the newest response in the moving average of the service time.
 SERVICE_TIME_GAIN = 0.05
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request is taken."""
+    """The request is admitted."""
 
 
 @dataclass(frozen=True)
 class Refused:
-    """The request is not taken; the caller may come back after `retry_after_s`."""
+    """The request is rejected; the caller may retry after `retry_after_s`."""
 
     code: ErrorCode
     detail: str
@@ -32,17 +33,20 @@
 
 
 class Admission:
-    """The requests of one service on this entry, waiting and running."""
+    """Admission control for one service on this entry.
+
+    Counts the requests that are waiting or running, in total and by caller.
+    """
 
     def __init__(self):
-        self._of_caller: Counter[CallerName] = Counter()
+        self._count_by_caller: Counter[CallerName] = Counter()
         self.waiting = 0
         self.service_time_ms = 0.0
 
     @property
     def active(self) -> int:
         """Requests waiting or running."""
-        return self._of_caller.total()
+        return self._count_by_caller.total()
 
     def decide(
         self,
@@ -51,54 +55,55 @@
         remaining_ms: int,
         usable_slots: float,
     ) -> Admitted | Refused:
-        """Decide on a request that has `remaining_ms` until its deadline.
+        """Admit or reject a request that has `remaining_ms` until its deadline.
 
-        `usable_slots` is how many requests this entry can expect to have running.
+        `usable_slots` is how many requests this entry can expect to run concurrently.
         """
         wait_ms = self.expected_wait_ms(usable_slots)
-        if self._of_caller[caller] >= service.caller_limit:
+        if self._count_by_caller[caller] >= service.caller_limit:
             return Refused(
                 ErrorCode.CALLER_LIMIT,
-                f"caller {caller} has {service.caller_limit} requests here already",
+                f"caller {caller} already has {service.caller_limit} active requests "
+                "on this entry",
                 _retry_after_s(self.service_time_ms),
             )
         if self.waiting >= service.queue_limit and self.waiting > 0:
             return Refused(
                 ErrorCode.QUEUE_FULL,
-                f"{self.waiting} requests are waiting for {service.name}",
+                f"queue of {service.name} is full: {self.waiting} requests are waiting",
                 _retry_after_s(wait_ms),
             )
         if wait_ms + self.service_time_ms > remaining_ms:
             return Refused(
                 ErrorCode.DEADLINE_PASSED,
-                f"an answer is expected in {wait_ms + self.service_time_ms:.0f} ms, "
-                f"the deadline is in {remaining_ms} ms",
+                f"expected latency of {wait_ms + self.service_time_ms:.0f} ms exceeds "
+                f"the {remaining_ms} ms left until the deadline",
                 _retry_after_s(wait_ms),
             )
         return Admitted()
 
     def expected_wait_ms(self, usable_slots: float) -> float:
-        """How long a request that comes now waits for a slot."""
+        """Return how long a request that arrives now is expected to wait for a slot."""
         if usable_slots <= 0:
             return 0.0
         return self.waiting * self.service_time_ms / usable_slots
 
     def enter(self, caller: CallerName) -> None:
-        """Note that a request was taken."""
-        self._of_caller[caller] += 1
+        """Count an admitted request."""
+        self._count_by_caller[caller] += 1
 
     def leave(self, caller: CallerName) -> None:
-        """Note that a request is done."""
-        self._of_caller[caller] -= 1
-        if self._of_caller[caller] <= 0:
-            del self._of_caller[caller]
+        """Remove a finished request from the counts."""
+        self._count_by_caller[caller] -= 1
+        if self._count_by_caller[caller] <= 0:
+            del self._count_by_caller[caller]
 
     def note_service_time(self, duration_ms: float) -> None:
-        """Note how long a server took for an answer."""
+        """Update the moving average with the duration of one response."""
         if self.service_time_ms == 0:
             self.service_time_ms = duration_ms
-        gap_ms = duration_ms - self.service_time_ms
-        self.service_time_ms += gap_ms * SERVICE_TIME_GAIN
+        difference_ms = duration_ms - self.service_time_ms
+        self.service_time_ms += difference_ms * SERVICE_TIME_GAIN
 
 
 def _retry_after_s(wait_ms: float) -> int:
--- a/src/cinderway/limits/_connections.py
+++ b/src/cinderway/limits/_connections.py
@@ -1,16 +1,17 @@
-"""Share a server's connection limit out over the fleet, without asking anyone."""
+"""Divide a server's connection limit among the entries, without coordination."""
 
 from dataclasses import dataclass
 
-# With fewer an entry could not overlap two requests to one server.
+# With fewer, an entry could not send two concurrent requests to one server.
 MINIMUM_PER_ENTRY = 2
-# Subsets are chosen by hashing, so some servers are in more of them than the mean.
+# Subsets are chosen by hashing, so some servers are in more subsets than the mean.
+# Only this share of a server's connection limit is planned for.
 HASHING_MARGIN = 0.7
 
 
 @dataclass(frozen=True)
 class ConnectionPlan:
-    """How many servers of a service one entry uses, and connections to each."""
+    """The servers of a service that one entry uses, and connections to each."""
 
     subset_size: int
     per_entry: int
@@ -19,19 +20,19 @@
 def plan_connections(
     connection_limit: int, entries: int, servers: int
 ) -> ConnectionPlan:
-    """Return the plan under which the fleet keeps to a server's limit.
+    """Return the plan by which all entries together respect a server's limit.
 
-    While the limit divides into two or more for each entry, all entries use all
-    servers and the limit holds for certain. With more entries each uses a subset,
-    and the limit holds by a margin over the mean; with fewer servers than that needs
-    it cannot hold, and each entry keeps to one connection.
+    While the limit allows two or more connections per entry, all entries use all
+    servers, and the limit always holds. With more entries, each uses a subset of the
+    servers, and the limit holds with a margin over the mean. With too few servers for
+    such subsets the limit cannot be kept, and each entry uses a single connection.
     """
     per_entry = connection_limit // max(entries, 1)
     if per_entry >= MINIMUM_PER_ENTRY or servers == 0:
         return ConnectionPlan(servers, max(per_entry, 1))
-    sharing = connection_limit / MINIMUM_PER_ENTRY * HASHING_MARGIN
-    subset_size = int(sharing * servers / entries)
+    entries_per_server = connection_limit / MINIMUM_PER_ENTRY * HASHING_MARGIN
+    subset_size = int(entries_per_server * servers / entries)
     if subset_size == 0:
-        # Too few servers for the fleet: one connection to one server is the least.
+        # Too few servers for the fleet: fall back to one connection to one server.
         return ConnectionPlan(1, 1)
     return ConnectionPlan(subset_size, MINIMUM_PER_ENTRY)
--- a/src/cinderway/limits/_overload.py
+++ b/src/cinderway/limits/_overload.py
@@ -1,17 +1,17 @@
-"""Turn away what would only make a queue longer. Pure: loads and times come in.
+"""Load shedding by expected latency. Pure: computed from loads and times.
 
-Load pattern: more work arrives than all slots finish, for longer than an objective.
-Servers then queue, and once their queues are as long as the objective every answer is
-late, however many are served. What is turned away at the door does not slow the others,
-and its caller is told at once.
+The case: for longer than the latency objective, more work arrives than all slots can
+finish. Servers then queue requests, and once the queueing delay reaches the objective,
+every response is late, however many are served. A request that is rejected on arrival
+does not delay the others, and its caller learns of it at once.
 """
 
 
 def expected_answer_ms(load: float, usual_ms: float) -> float:
-    """Return how long a server takes for one more request.
+    """Return how long a server is expected to take for one more request.
 
-    `load` is the share of its slots that are taken once it has the request; beyond 1 a
-    request waits for rounds of `usual_ms`, the time of an answer without a queue.
+    `load` is the share of its slots in use, with this request included. Beyond 1, the
+    latency grows in proportion from `usual_ms`, the latency without a queue.
     """
     return usual_ms * max(load, 1.0)
 
@@ -19,10 +19,11 @@
 def is_hopeless(
     load: float, usual_ms: float, now_ms: int, objective_at_ms: int, deadline_ms: int
 ) -> bool:
-    """Whether the least loaded server's queue is too long for a request.
+    """Whether a server with this load has too long a queue for a request.
 
-    It is where the queue alone would make its answer late. Where even an idle server's
-    answer would be, only the deadline counts: a late answer is better than none.
+    The queue is too long if it alone would make the response miss the objective. If
+    even an idle server's response would miss it, only the deadline counts: a late
+    response is better than none.
     """
     expected_at_ms = now_ms + expected_answer_ms(load, usual_ms)
     if now_ms + usual_ms <= objective_at_ms:
--- a/src/cinderway/limits/_retry_budget.py
+++ b/src/cinderway/limits/_retry_budget.py
@@ -1,16 +1,16 @@
-"""A budget that bounds retries and hedges to a share of first attempts."""
+"""A token bucket that limits retries and hedges to a share of first attempts."""
 
-# Lets a quiet entry retry a little at once.
+# Lets an entry with little traffic retry a few times right after its start.
 INITIAL_TOKENS = 3.0
 MAXIMUM_TOKENS = 20.0
 
 
 class RetryBudget:
-    """Each first attempt earns a fraction of a retry.
+    """Token bucket of retries: each first attempt earns a fraction of one.
 
-    Guarantee: after n first attempts, at most `initial` + n * percent / 100
-    retries were ever spent here, and in any span of time at most `maximum` plus that
-    share of the span's first attempts. As every entry keeps to it, so does the fleet.
+    Guarantee: after n first attempts, at most `initial` + n * percent / 100 retries
+    have been spent in total, and in any period at most `maximum` plus that share of
+    the period's first attempts. Since each entry respects the bound, so does the fleet.
     """
 
     def __init__(
@@ -24,15 +24,15 @@
         self._tokens = min(initial, maximum) if percent else 0.0
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Add the share of a retry that a first attempt earns."""
         self._tokens = min(self._tokens + self.percent / 100, self.maximum)
 
     def empty(self) -> None:
-        """Give up what was earned: the retries are paid for elsewhere from now on."""
+        """Discard all tokens: from now on another budget pays for the retries."""
         self._tokens = 0.0
 
     def spend(self) -> bool:
-        """Take one retry; False if there is none left."""
+        """Consume the token for one retry; return False if there is none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/tests/limits/test_allowances.py
+++ b/tests/limits/test_allowances.py
@@ -16,7 +16,7 @@
 
 
 class RulesTests(unittest.TestCase):
-    def test_a_limit_counts_rate_burst_and_what_is_borne_beyond(self):
+    def test_limit_includes_rate_burst_overshoot_and_slack(self):
         rules = AllowanceRules(WINDOW_MS, overshoot_ratio=0.1, slack_requests=20)
         self.assertAlmostEqual(rules.limit(8, 4), 44 * 1.1 + 20)
 
@@ -28,40 +28,42 @@
     def take(self, holder, limit=10, now_ms=0, **ask):
         return self.pool.take(holder, TokenAsk(**ask), limit, now_ms, LEASE_MS)
 
-    def test_needs_are_met_up_to_the_limit_and_no_further(self):
+    def test_immediate_needs_are_granted_up_to_the_limit(self):
         self.assertEqual(self.take("a", needed=7).granted, 7)
         self.assertEqual(self.take("b", needed=7).granted, 3)
 
-    def test_a_reserve_takes_a_part_of_what_is_free(self):
+    def test_a_reserve_gets_a_share_of_the_free_tokens(self):
         found = self.take("a", limit=102, needed=2, wanted=20)
         self.assertEqual(found.granted, 2 + 8)
 
-    def test_a_reserve_leaves_a_part_for_those_who_have_a_need(self):
+    def test_a_reserve_leaves_tokens_for_immediate_needs(self):
         self.take("a", limit=100, needed=85)
         found = self.take("b", limit=100, needed=2, wanted=20)
         self.assertEqual(found.granted, 2)
 
-    def test_what_was_used_comes_free_a_window_later(self):
+    def test_used_tokens_come_free_one_window_later(self):
         self.take("a", needed=10)
         self.assertEqual(self.take("a", used=10, needed=1, now_ms=100).granted, 0)
         self.assertEqual(self.take("a", needed=1, now_ms=5_101).granted, 1)
 
-    def test_what_a_silent_holder_has_comes_free_a_window_after_its_lease(self):
+    def test_tokens_of_an_unresponsive_holder_come_free_one_window_after_its_lease(
+        self,
+    ):
         self.take("a", needed=10)
         self.assertEqual(self.take("b", needed=1, now_ms=11_000).granted, 0)
         self.assertEqual(self.take("b", needed=1, now_ms=11_001).granted, 1)
 
-    def test_a_holders_word_replaces_what_was_thought_that_it_held(self):
+    def test_a_holders_report_replaces_the_recorded_lease(self):
         self.take("a", needed=10)
         self.assertEqual(self.take("a", held=4, now_ms=10).granted, 0)
         self.assertEqual(self.take("b", needed=9, now_ms=20).granted, 6)
 
-    def test_a_refusal_says_when_the_oldest_charge_ends(self):
+    def test_a_refusal_tells_when_the_oldest_used_token_comes_free(self):
         self.take("a", needed=10)
         self.take("a", used=10, now_ms=1_000)
         self.assertEqual(self.take("b", needed=1, now_ms=2_000).room_in_ms, 4_000)
 
-    def test_a_limit_that_has_fallen_below_what_is_charged_grants_nothing(self):
+    def test_a_limit_below_the_charged_tokens_grants_nothing(self):
         self.take("a", needed=10)
         self.assertEqual(self.take("b", limit=3, needed=1).granted, 0)
 
@@ -75,31 +77,31 @@
         self.lease.end_ask(TokenAnswer(count), now_ms, now_ms + LEASE_MS)
         return ask
 
-    def test_a_token_is_used_once_and_told_once(self):
+    def test_a_token_is_used_once_and_reported_once(self):
         self.grant(1)
         self.assertTrue(self.lease.take(1))
         self.assertFalse(self.lease.take(2))
         self.assertEqual(self.grant(0, now_ms=3).used, 1)
         self.assertEqual(self.grant(0, now_ms=4).used, 0)
 
-    def test_a_use_whose_telling_was_lost_is_told_again(self):
+    def test_a_use_is_reported_again_if_the_report_was_lost(self):
         self.grant(1)
         self.lease.take(1)
         self.lease.begin_ask(2)
         self.lease.end_ask(None, 3)
         self.assertEqual(self.lease.begin_ask(4).used, 1)
 
-    def test_a_token_ends_with_its_lease(self):
+    def test_a_token_expires_with_its_lease(self):
         self.grant(1)
         self.assertFalse(self.lease.take(LEASE_MS))
 
-    def test_it_saves_up_for_what_was_used_lately(self):
+    def test_it_requests_as_many_tokens_as_were_recently_used(self):
         self.grant(6)
         for at_ms in range(4):
             self.lease.take(at_ms)
         self.assertEqual(self.lease.begin_ask(10).wanted, 2)
 
-    def test_what_a_quiet_account_holds_is_given_up(self):
+    def test_tokens_of_an_inactive_account_are_released(self):
         self.grant(2)
         self.lease.take(0)
         self.assertEqual(self.lease.begin_ask(4_500).held, 1)
@@ -107,7 +109,7 @@
         self.assertTrue(self.lease.is_due(5_500))
         self.assertEqual(self.lease.begin_ask(5_500).held, 0)
 
-    def test_a_request_that_was_never_sent_gives_its_token_back(self):
+    def test_the_token_of_a_request_that_was_never_sent_is_returned(self):
         self.grant(1)
         self.lease.take(1)
         self.lease.give_back()
@@ -115,7 +117,7 @@
         self.lease.end_ask(TokenAnswer(0), 2, 2 + LEASE_MS)
         self.assertTrue(self.lease.take(3))
 
-    def test_a_use_that_was_told_is_not_given_back(self):
+    def test_a_reported_use_is_not_returned(self):
         self.grant(1)
         self.lease.take(1)
         self.lease.begin_ask(2)
@@ -123,7 +125,7 @@
         self.lease.end_ask(TokenAnswer(0), 3, 3 + LEASE_MS)
         self.assertFalse(self.lease.take(4))
 
-    def test_another_replica_is_told_the_windows_uses_and_nothing_is_held(self):
+    def test_a_new_replica_gets_the_windows_uses_and_held_tokens_are_dropped(self):
         self.grant(5)
         self.lease.take(0)
         self.lease.take(1_000)
@@ -134,13 +136,13 @@
 
 
 class Model:
-    """Entries that ask one pool over a way that loses and delays."""
+    """Entries that request tokens from one pool over a lossy, delaying network."""
 
     def __init__(self, limit):
         self.limit = limit
         self.now_ms = 0
         self.pool = AllowancePool(WINDOW_MS)
-        self.lives = [0] * ENTRIES
+        self.incarnations = [0] * ENTRIES
         self.leases = [AllowanceLease(window_ms=WINDOW_MS) for _ in range(ENTRIES)]
         self.asks = [None] * ENTRIES
         self.used_at_ms = []
@@ -155,24 +157,24 @@
             ask = self.leases[entry].begin_ask(self.now_ms)
             self.asks[entry] = (ask, self.now_ms)
 
-    def finish(self, entry, fate):
+    def finish(self, entry, result):
         if self.asks[entry] is None:
             return
         (ask, sent_ms), self.asks[entry] = self.asks[entry], None
         answer = None
-        if fate != "ask lost":
-            holder = (entry, self.lives[entry])
+        if result != "ask lost":
+            holder = (entry, self.incarnations[entry])
             answer = self.pool.take(holder, ask, self.limit, self.now_ms, LEASE_MS)
-        told = answer if fate == "answered" else None
-        self.leases[entry].end_ask(told, self.now_ms, sent_ms + LEASE_MS)
+        received = answer if result == "answered" else None
+        self.leases[entry].end_ask(received, self.now_ms, sent_ms + LEASE_MS)
 
     def restart(self, entry):
-        self.lives[entry] += 1
+        self.incarnations[entry] += 1
         self.leases[entry] = AllowanceLease(window_ms=WINDOW_MS)
         self.asks[entry] = None
 
     def reconnect(self, entry):
-        self.lives[entry] += 1
+        self.incarnations[entry] += 1
         self.leases[entry].start_anew(self.now_ms)
         self.asks[entry] = None
 
@@ -181,19 +183,21 @@
 
 
 ENTRY = st.integers(0, ENTRIES - 1)
-FATES = st.sampled_from(["answered", "answered", "answered", "ask lost", "answer lost"])
+RESULTS = st.sampled_from(
+    ["answered", "answered", "answered", "ask lost", "answer lost"]
+)
 STEPS = st.one_of(
     st.tuples(st.just("use"), ENTRY),
     st.tuples(st.just("use"), ENTRY),
     st.tuples(st.just("begin"), ENTRY, st.integers(0, 4)),
-    st.tuples(st.just("finish"), ENTRY, FATES),
+    st.tuples(st.just("finish"), ENTRY, RESULTS),
     st.tuples(st.just("restart"), ENTRY),
     st.tuples(st.just("reconnect"), ENTRY),
     st.tuples(st.just("advance"), st.sampled_from([1, 200, 900, 2_500, 4_000])),
 )
 
 
-def most_in_a_window(times_ms):
+def maximum_in_a_window(times_ms):
     return max(
         (
             sum(start <= at <= start + WINDOW_MS for at in times_ms)
@@ -206,15 +210,18 @@
 class BoundTests(unittest.TestCase):
     @settings(max_examples=300)
     @given(st.integers(0, 12), st.lists(STEPS, max_size=80))
-    def test_no_window_holds_more_than_the_limit_whatever_is_lost(self, limit, steps):
+    def test_uses_in_any_window_stay_within_the_limit_when_messages_are_lost(
+        self, limit, steps
+    ):
         model = Model(limit)
         for name, *arguments in steps:
             getattr(model, name)(*arguments)
-        self.assertLessEqual(most_in_a_window(model.used_at_ms), limit)
+        self.assertLessEqual(maximum_in_a_window(model.used_at_ms), limit)
 
     @given(st.lists(ENTRY, min_size=1, max_size=200))
-    def test_within_its_rate_an_account_is_never_refused(self, senders):
-        # One request each 100 ms: 51 in a window, and as many again may be held.
+    def test_an_account_within_its_rate_is_never_refused(self, senders):
+        # One request every 100 ms: 51 in a window, and as many again may be held in
+        # reserve.
         model = Model(limit=100)
         for entry in senders:
             model.begin(entry, waiting=1)
--- a/tests/limits/test_connect_limit.py
+++ b/tests/limits/test_connect_limit.py
@@ -3,37 +3,37 @@
 from hypothesis import given, strategies as st
 
 from cinderway.limits import ConnectLimit
-from cinderway.limits._connect_limit import LEAST_MS, MOST_MS
+from cinderway.limits._connect_limit import MAXIMUM_TIMEOUT_MS, MINIMUM_TIMEOUT_MS
 
 
 class ConnectLimitTests(unittest.TestCase):
-    def settled(self, duration_ms):
+    def train(self, duration_ms):
         limit = ConnectLimit()
         for _ in range(50):
             limit.note_made(duration_ms)
         return limit
 
-    def test_before_anything_is_known_it_is_the_longest(self):
-        self.assertEqual(ConnectLimit().limit_ms, MOST_MS)
+    def test_initial_timeout_is_the_maximum(self):
+        self.assertEqual(ConnectLimit().limit_ms, MAXIMUM_TIMEOUT_MS)
 
-    def test_where_connections_are_fast_a_silent_server_is_given_up_soon(self):
-        self.assertEqual(self.settled(4).limit_ms, LEAST_MS)
+    def test_fast_connections_give_the_minimum_timeout(self):
+        self.assertEqual(self.train(4).limit_ms, MINIMUM_TIMEOUT_MS)
 
-    def test_where_the_link_is_full_it_is_longer(self):
-        self.assertGreater(self.settled(250).limit_ms, 250)
+    def test_slow_connections_give_a_longer_timeout(self):
+        self.assertGreater(self.train(250).limit_ms, 250)
 
-    def test_one_silent_server_does_not_lengthen_it(self):
-        limit = self.settled(4)
+    def test_a_single_timeout_does_not_lengthen_it(self):
+        limit = self.train(4)
         limit.note_missed()
-        self.assertEqual(limit.limit_ms, LEAST_MS)
+        self.assertEqual(limit.limit_ms, MINIMUM_TIMEOUT_MS)
 
-    def test_several_in_a_row_do_until_a_connection_is_made(self):
-        limit = self.settled(4)
+    def test_consecutive_timeouts_lengthen_it_until_a_connection_succeeds(self):
+        limit = self.train(4)
         for _ in range(3):
             limit.note_missed()
-        self.assertEqual(limit.limit_ms, 4 * LEAST_MS)
+        self.assertEqual(limit.limit_ms, 4 * MINIMUM_TIMEOUT_MS)
         limit.note_made(4)
-        self.assertEqual(limit.limit_ms, LEAST_MS)
+        self.assertEqual(limit.limit_ms, MINIMUM_TIMEOUT_MS)
 
     @given(st.lists(st.one_of(st.none(), st.floats(0, 5_000)), max_size=80))
     def test_it_stays_between_its_bounds(self, durations_ms):
@@ -43,4 +43,4 @@
                 limit.note_missed()
             else:
                 limit.note_made(duration_ms)
-            self.assertTrue(LEAST_MS <= limit.limit_ms <= MOST_MS)
+            self.assertTrue(MINIMUM_TIMEOUT_MS <= limit.limit_ms <= MAXIMUM_TIMEOUT_MS)
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -20,7 +20,7 @@
 
 class RetryBudgetTest(unittest.TestCase):
     @given(st.lists(st.booleans(), max_size=500), st.integers(0, 100))
-    def test_retries_never_add_more_than_their_share(self, steps, percent):
+    def test_retries_stay_within_their_share_of_first_attempts(self, steps, percent):
         budget = RetryBudget(percent)
         first_attempts = retries = 0
         for is_first_attempt in steps:
@@ -32,7 +32,7 @@
             allowed = INITIAL_TOKENS + first_attempts * percent / 100
             self.assertLessEqual(retries, allowed + 1e-6)
 
-    def test_an_emptied_budget_grants_nothing_before_it_has_earned_again(self):
+    def test_an_emptied_budget_grants_nothing_until_it_has_earned_a_retry(self):
         budget = RetryBudget(50)
         budget.empty()
         budget.earn()
@@ -43,15 +43,15 @@
 
 class ConnectionPlanTest(unittest.TestCase):
     @given(st.integers(2, 400), st.integers(1, 200), st.integers(1, 50))
-    def test_entries_that_all_use_a_server_keep_to_its_limit(
+    def test_entries_that_all_use_a_server_respect_its_limit(
         self, limit, entries, servers
     ):
         plan = plan_connections(limit, entries, servers)
         if plan.subset_size == servers and plan.per_entry >= 2:
             self.assertLessEqual(plan.per_entry * entries, limit)
 
-    def test_large_fleet_keeps_to_the_limit_by_subsets(self):
-        """1,100 entries before 28 servers of 200 connections, by their own hashing."""
+    def test_a_large_fleet_respects_the_limit_by_subsets(self):
+        """1,100 entries choose subsets of 28 servers that allow 200 connections each."""
         servers = [f"s{n}" for n in range(28)]
         plan = plan_connections(200, 1_100, len(servers))
         connections = Counter()
@@ -70,7 +70,7 @@
     def decide(self, remaining_ms=10_000, caller="ana"):
         return self.admission.decide(SERVICE, caller, remaining_ms, usable_slots=2)
 
-    def test_request_that_cannot_be_answered_in_time_is_refused_at_once(self):
+    def test_a_request_that_would_miss_its_deadline_is_rejected_at_once(self):
         self.admission.waiting = 3
         self.assertEqual(self.decide(), Admitted())
         refused = self.decide(remaining_ms=200)
@@ -81,7 +81,7 @@
         self.admission.waiting = SERVICE.queue_limit
         self.assertIs(self.decide().code, ErrorCode.QUEUE_FULL)
 
-    def test_caller_who_refreshes_again_and_again_does_not_crowd_out_others(self):
+    def test_a_caller_at_its_limit_does_not_block_other_callers(self):
         for _ in range(SERVICE.caller_limit):
             self.admission.enter("ana")
         self.assertIs(self.decide(caller="ana").code, ErrorCode.CALLER_LIMIT)
@@ -90,7 +90,7 @@
         self.assertEqual(self.decide(caller="ana"), Admitted())
 
     @given(st.integers(0, 100), st.integers(0, 20_000))
-    def test_refusal_always_says_when_to_come_back(self, waiting, remaining_ms):
+    def test_a_rejection_always_has_a_retry_after_time(self, waiting, remaining_ms):
         self.admission.waiting = waiting
         decision = self.decide(remaining_ms)
         if isinstance(decision, Refused):
--- a/tests/limits/test_overload.py
+++ b/tests/limits/test_overload.py
@@ -11,13 +11,13 @@
     def is_hopeless(self, load, now_ms=0, objective_at_ms=1_400, deadline_ms=3_000):
         return is_hopeless(load, USUAL_MS, now_ms, objective_at_ms, deadline_ms)
 
-    def test_a_server_with_a_free_slot_takes_its_usual_time(self):
+    def test_a_server_with_a_free_slot_has_its_usual_latency(self):
         self.assertEqual(expected_answer_ms(0.4, USUAL_MS), USUAL_MS)
 
-    def test_a_queue_takes_a_round_for_each_filling_of_the_slots(self):
+    def test_latency_grows_in_proportion_to_load_above_one(self):
         self.assertEqual(expected_answer_ms(3.0, USUAL_MS), 3 * USUAL_MS)
 
-    def test_a_queue_that_ends_within_the_objective_is_joined(self):
+    def test_a_queue_within_the_objective_is_accepted(self):
         self.assertFalse(self.is_hopeless(4.6))
         self.assertTrue(self.is_hopeless(4.7))
 
@@ -26,5 +26,5 @@
         self.assertTrue(self.is_hopeless(6.1, now_ms=1_200))
 
     @given(st.floats(0, 1), st.integers(0, 5_000), st.integers(0, 5_000))
-    def test_nothing_is_turned_away_from_a_free_slot(self, load, now_ms, until_ms):
+    def test_a_free_slot_never_rejects_a_request(self, load, now_ms, until_ms):
         self.assertFalse(is_hopeless(load, USUAL_MS, now_ms, until_ms, until_ms))
--- a/tests/limits/test_retry_pool.py
+++ b/tests/limits/test_retry_pool.py
@@ -10,70 +10,70 @@
 )
 
 
-def taken(pool, now_ms, asked=100):
+def take_many(pool, now_ms, asked=100):
     return sum(pool.take(now_ms) for _ in range(asked))
 
 
 class RetryPoolTests(unittest.TestCase):
-    def test_a_new_pool_has_nothing(self):
+    def test_a_new_pool_grants_no_retries(self):
         pool = RetryPool(percent=20, extra=10, ramped_at_ms=0)
         self.assertFalse(pool.take(0))
 
-    def test_requests_of_all_entries_earn_retries_for_any(self):
+    def test_requests_add_to_the_shared_budget(self):
         pool = RetryPool(percent=20, extra=10, ramped_at_ms=0)
         pool.earn(10, 0)
         self.assertEqual([pool.take(0) for _ in range(3)], [True, True, False])
 
-    def test_a_pool_comes_to_its_extra_retries_over_a_window(self):
+    def test_extra_retries_ramp_up_over_one_window(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        self.assertEqual(taken(pool, WINDOW_MS // 2), 5)
-        self.assertEqual(taken(pool, WINDOW_MS), 5)
+        self.assertEqual(take_many(pool, WINDOW_MS // 2), 5)
+        self.assertEqual(take_many(pool, WINDOW_MS), 5)
 
-    def test_all_extra_retries_may_be_saved_up(self):
+    def test_unused_extra_retries_accumulate(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        self.assertEqual(taken(pool, WINDOW_MS), 10)
+        self.assertEqual(take_many(pool, WINDOW_MS), 10)
 
-    def test_what_was_granted_comes_back_after_a_window_and_not_before(self):
+    def test_a_granted_retry_is_available_again_after_exactly_one_window(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        taken(pool, WINDOW_MS)
-        self.assertEqual(taken(pool, 2 * WINDOW_MS - 1), 0)
-        self.assertEqual(taken(pool, 2 * WINDOW_MS), 10)
+        take_many(pool, WINDOW_MS)
+        self.assertEqual(take_many(pool, 2 * WINDOW_MS - 1), 0)
+        self.assertEqual(take_many(pool, 2 * WINDOW_MS), 10)
 
-    def test_entries_that_come_from_another_pool_bring_no_burst(self):
+    def test_a_larger_extra_causes_no_burst(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        taken(pool, WINDOW_MS)
+        take_many(pool, WINDOW_MS)
         pool.extra = 30
-        self.assertEqual(taken(pool, WINDOW_MS + 1), 0)
-        self.assertEqual(taken(pool, WINDOW_MS + WINDOW_MS // 2), 15)
+        self.assertEqual(take_many(pool, WINDOW_MS + 1), 0)
+        self.assertEqual(take_many(pool, WINDOW_MS + WINDOW_MS // 2), 15)
 
-    def test_entries_that_leave_take_their_share_with_them_at_once(self):
+    def test_a_smaller_extra_applies_at_once(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        taken(pool, WINDOW_MS - 1, asked=2)
+        take_many(pool, WINDOW_MS - 1, asked=2)
         pool.extra = 5
-        self.assertEqual(taken(pool, WINDOW_MS), 3)
+        self.assertEqual(take_many(pool, WINDOW_MS), 3)
 
-    def test_second_tries_beside_slow_ones_leave_room_for_as_many_failures(self):
+    def test_hedges_leave_room_for_as_many_failures_as_in_the_last_window(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        self.assertEqual(taken(pool, WINDOW_MS, asked=4), 4)
-        slow = [pool.take(WINDOW_MS, after_failure=False) for _ in range(9)]
-        self.assertEqual(sum(slow), 6)
+        self.assertEqual(take_many(pool, WINDOW_MS, asked=4), 4)
+        hedges = [pool.take(WINDOW_MS, after_failure=False) for _ in range(9)]
+        self.assertEqual(sum(hedges), 6)
 
-    def test_refused_failures_make_room_for_those_to_come(self):
+    def test_refused_failures_also_reserve_room_for_later_failures(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        slow = [pool.take(WINDOW_MS, after_failure=False) for _ in range(20)]
-        self.assertEqual(sum(slow), 10)
-        self.assertEqual(taken(pool, WINDOW_MS + 1, asked=7), 0)
+        hedges = [pool.take(WINDOW_MS, after_failure=False) for _ in range(20)]
+        self.assertEqual(sum(hedges), 10)
+        self.assertEqual(take_many(pool, WINDOW_MS + 1, asked=7), 0)
         later_ms = 2 * WINDOW_MS
-        slow = [pool.take(later_ms, after_failure=False) for _ in range(20)]
-        self.assertEqual(sum(slow), 3)
-        self.assertEqual(taken(pool, later_ms, asked=7), 7)
+        hedges = [pool.take(later_ms, after_failure=False) for _ in range(20)]
+        self.assertEqual(sum(hedges), 3)
+        self.assertEqual(take_many(pool, later_ms, asked=7), 7)
 
     @given(events, st.integers(0, 30), st.integers(2, 20))
-    def test_no_window_grants_more_than_its_share_and_the_extra(
+    def test_grants_in_any_window_stay_within_percent_and_extra(
         self, events, percent, extra
     ):
         pool = RetryPool(percent=percent, extra=extra, ramped_at_ms=0)
-        now_ms, happened = 0, []
+        now_ms, history = 0, []
         for pause_ms, requests, asked in events:
             now_ms += pause_ms
             pool.earn(requests, now_ms)
@@ -81,9 +81,9 @@
                 pool.take(now_ms, after_failure=number % 3 == 0)
                 for number in range(asked)
             )
-            happened.append((now_ms, requests, granted))
-        for end_ms, _, _ in happened:
-            window = [h for h in happened if end_ms - WINDOW_MS < h[0] <= end_ms]
+            history.append((now_ms, requests, granted))
+        for end_ms, _, _ in history:
+            window = [h for h in history if end_ms - WINDOW_MS < h[0] <= end_ms]
             requests = sum(h[1] for h in window)
             granted = sum(h[2] for h in window)
             self.assertLessEqual(granted, extra + requests * percent / 100 + 1e-6)
