--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -20,8 +20,8 @@
     service: ServiceState, server: ServerState, now_ms: int
 ) -> HeldBackError | None:
     """Return why a request may not be written to a server now; None if it may."""
-    if server.pushback.rests(now_ms):
-        left_ms = server.pushback.rests_until_ms - now_ms
+    if server.pushback.is_backing_off(now_ms):
+        left_ms = server.pushback.backoff_until_ms - now_ms
         return _held_back(
             server, ErrorCode.BACKEND_RESTS, f"it asked for {left_ms} ms more of rest"
         )
@@ -31,9 +31,9 @@
     return None
 
 
-def is_open(server: ServerState, now_ms: int) -> bool:
+def can_accept(server: ServerState, now_ms: int) -> bool:
     """Whether new requests may go to a listed server, ejection left aside."""
-    return server.takes_work(now_ms) and server.pushback.is_open(now_ms)
+    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)
 
 
 def turn_refusal(server: ServerState, turn: Turn, now_ms: int) -> HeldBackError | None:
@@ -67,17 +67,17 @@
         if server.takes_work(now_ms) and not server.is_ejected
     ]
     until_ms = max(now_ms, give_up_at_ms)
-    room = sum(s.pushback.room_until(until_ms, now_ms) for s in working)
+    room = sum(s.pushback.compute_capacity_until(until_ms, now_ms) for s in working)
     if not working or room >= max(waiting, 1):
         return None
-    back_in_ms = min(server.pushback.back_in_ms(now_ms) for server in working)
+    retry_after_ms = min(server.pushback.retry_after_ms(now_ms) for server in working)
     limited = sum(server.pushback.is_limited(now_ms) for server in working)
     return RefusedForNowError(
         ErrorCode.BACKEND_LIMITED if limited else ErrorCode.BACKEND_RESTS,
         f"all {len(working)} backend servers of {service.row.name} asked for rest or "
         f"name a rate ({limited} of them), and {waiting} requests wait here; the next "
-        f"may go in {back_in_ms} ms",
-        back_in_ms,
+        f"may go in {retry_after_ms} ms",
+        retry_after_ms,
         step=Step.QUEUE,
     )
 
@@ -87,7 +87,7 @@
     ends_ms = [
         at_ms
         for server in service.servers.values()
-        for at_ms in (server.pause_until_ms, server.pushback.opens_at_ms(now_ms))
+        for at_ms in (server.pause_until_ms, server.pushback.accepts_at_ms(now_ms))
         if at_ms > now_ms
     ]
     return min(ends_ms, default=None)
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -87,7 +87,7 @@
             sending.attempt_id,
             answer.status,
             server.in_flight,
-            max(server.pause_until_ms, server.pushback.rests_until_ms) - now_ms,
+            max(server.pause_until_ms, server.pushback.backoff_until_ms) - now_ms,
         )
         if self.board.on_turned_away is not None:
             self.board.on_turned_away(server.row.name)
@@ -108,11 +108,13 @@
         server = sending.server
         if words.is_leaving and not server.pushback.leaves(now_ms):
             logger.info("%s says that it leaves", sending)
-        if words.rest_ms is not None:
+        if words.backoff_ms is not None:
             labels = {"service": sending.service.row.name}
             self.metrics.count("rests_total", labels)
-            self.metrics.observe("rest_seconds", words.rest_ms / 1000, labels)
-            logger.info("%s asked this entry for %d ms of rest", sending, words.rest_ms)
+            self.metrics.observe("rest_seconds", words.backoff_ms / 1000, labels)
+            logger.info(
+                "%s asked this entry for %d ms of rest", sending, words.backoff_ms
+            )
         self.board.pushback.note(server.row.name, server.pushback, words, now_ms)
         if words.is_leaving:
             self.evidence.drain_seen(sending.attempt)
--- a/src/cinderway/entry/servers/_probe.py
+++ b/src/cinderway/entry/servers/_probe.py
@@ -11,7 +11,7 @@
 from cinderway._ids import EntryName
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._dispatch import Dispatcher
-from cinderway.entry.servers._holds import is_open
+from cinderway.entry.servers._holds import can_accept
 from cinderway.entry.servers._messages import BackendRequest
 from cinderway.routing import rank_of
 
@@ -60,7 +60,7 @@
         live: list[EntryName],
         now_ms: int,
     ) -> bool:
-        if self.in_flight >= PROBES_IN_FLIGHT or not is_open(server, now_ms):
+        if self.in_flight >= PROBES_IN_FLIGHT or not can_accept(server, now_ms):
             return False
         if server.probes_per_s:
             # Many entries together, each at random: their word counts separately.
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -20,7 +20,7 @@
     free_servers,
 )
 from cinderway.entry.servers._holds import (
-    is_open,
+    can_accept,
     next_open_at_ms,
     pushback_refusal,
 )
@@ -196,7 +196,7 @@
     return [
         server
         for server in service.servers.values()
-        if is_open(server, now_ms) and not server.is_ejected
+        if can_accept(server, now_ms) and not server.is_ejected
     ]
 
 
--- a/src/cinderway/pushback/__init__.py
+++ b/src/cinderway/pushback/__init__.py
@@ -1,14 +1,20 @@
-"""What backend servers ask for: rest for a while, nothing more, or no more than a rate.
+"""Pushback from backend servers: backoff, leaving, and rate limits.
 
-The field's term is pushback. A server that turns a request away may say for how long it
-wants nothing from the entry that it answers; one that leaves may say so in any answer.
-All are words about the server and not about a request, and hold for one start of it. A
-rate that a server names binds the whole fleet: a few entries divide it among them.
+Servers send pushback in response headers:
+
+- Backoff: a server that rejects a request may state for how long this entry should not
+  send it requests. Metrics and error codes call this a rest.
+- Leaving: a server that is shutting down may say so in any response.
+- Rate limit: a server may state the rate of requests that it accepts from all entries
+  together. A few entries divide the rate among themselves.
+
+Pushback concerns the server, not the request whose response carried it. It applies to
+one run of the server: a restarted server has none.
 """
 
 from cinderway.pushback._book import (
     LEAVING_VALID_MS,
-    PUSHBACK_KEPT_LIMIT,
+    MAXIMUM_TRACKED_SERVERS,
     PushbackBook,
     ServerPushback,
     Turn,
@@ -16,15 +22,15 @@
 from cinderway.pushback._limits import LimitRecord, RateLimit
 from cinderway.pushback._messages import FleetEntries, ServerLimit, ServerLimits
 from cinderway.pushback._rate_shares import (
-    LEAST_RATE_PER_S,
+    MINIMUM_RATE_PER_S,
     EntryGroup,
-    holder_count,
+    compute_holder_count,
     share_of,
 )
 from cinderway.pushback._turns import RateTurns
 from cinderway.pushback._words import (
+    MAXIMUM_BACKOFF_MS,
     NO_WORDS,
-    REST_LIMIT_MS,
     RETRY_AFTER,
     UNAVAILABLE,
     ServerWords,
@@ -32,11 +38,11 @@
 )
 
 __all__ = [
-    "LEAST_RATE_PER_S",
     "LEAVING_VALID_MS",
+    "MAXIMUM_BACKOFF_MS",
+    "MAXIMUM_TRACKED_SERVERS",
+    "MINIMUM_RATE_PER_S",
     "NO_WORDS",
-    "PUSHBACK_KEPT_LIMIT",
-    "REST_LIMIT_MS",
     "RETRY_AFTER",
     "UNAVAILABLE",
     "EntryGroup",
@@ -50,7 +56,7 @@
     "ServerPushback",
     "ServerWords",
     "Turn",
-    "holder_count",
+    "compute_holder_count",
     "share_of",
     "words_of",
 ]
--- a/src/cinderway/pushback/_limits.py
+++ b/src/cinderway/pushback/_limits.py
@@ -1,61 +1,66 @@
-"""The rates that servers name, as entries and control replicas hold them. Pure."""
+"""Servers' rate limits as stored by entries and control replicas. Pure."""
 
 from dataclasses import dataclass, field
 
 from cinderway._ids import ServerName
 
-# Servers whose limits are kept; the ones heard of longest ago go first.
-LIMITS_KEPT = 4_096
-# A limit is believed for so long after it was last heard: those who may send to the
-# server hear it with each answer, and tell the others at a change and now and then.
+# Maximum number of servers whose limits are kept; the least recently updated ones are
+# evicted first.
+MAXIMUM_LIMITS = 4_096
+# How long a limit is valid after it was last received. Entries that may send to the
+# server receive it with each response. They announce it to the others when it changes,
+# and otherwise every RENEWAL_INTERVAL_MS.
 LIMIT_VALID_MS = 600_000
-RENEW_MS = 60_000
-# A limit that follows the server's load moves with each answer. What moves less than
-# this is not told.
-CHANGE_SHARE = 0.1
+RENEWAL_INTERVAL_MS = 60_000
+# Relative change below which a new value is not announced: a limit that follows the
+# server's load changes with each response.
+MINIMUM_CHANGE_SHARE = 0.1
 
 
 @dataclass(frozen=True)
 class RateLimit:
-    """What a server named, and when; without a rate it ends an earlier limit."""
+    """A server's rate limit and when it was received.
+
+    Without a rate, it records that the server has removed its limit.
+    """
 
     rate_per_s: float | None
     heard_at_ms: int
 
     def holds(self, now_ms: int) -> bool:
-        """Whether the server is still to be spared."""
+        """Whether the limit is in force."""
         return self.rate_per_s is not None and now_ms < self.valid_until_ms
 
     @property
     def valid_until_ms(self) -> int:
-        """Until when it is believed, unless it is heard again."""
+        """When it expires unless it is received again."""
         return self.heard_at_ms + LIMIT_VALID_MS
 
     def differs_from(self, other: "RateLimit") -> bool:
-        """Whether somebody who knows the other has to be told of this one."""
+        """Whether the two differ enough that the change must be announced."""
         rates = (self.rate_per_s, other.rate_per_s)
         if None in rates:
             return rates[0] != rates[1]
-        return abs(rates[0] - rates[1]) > CHANGE_SHARE * max(rates)
+        return abs(rates[0] - rates[1]) > MINIMUM_CHANGE_SHARE * max(rates)
 
 
 @dataclass
 class LimitRecord:
-    """The newest word of each server, whoever heard it.
+    """The most recent rate limit of each server, whichever process received it.
 
-    The end of a limit is kept like any other word: an older one that comes later must
-    not bring the limit back.
+    The removal of a limit is stored like a limit, so that an older update that arrives
+    later does not restore it.
     """
 
     _limits: dict[ServerName, RateLimit] = field(default_factory=dict)
-    _told: dict[ServerName, RateLimit] = field(default_factory=dict)
+    _announced: dict[ServerName, RateLimit] = field(default_factory=dict)
 
     def of(self, server: ServerName) -> RateLimit | None:
-        """Return what a server said last; None if it never named a limit."""
+        """Return a server's most recent limit; None if it never had one."""
         return self._limits.get(server)
 
     def learn(self, server: ServerName, limit: RateLimit) -> bool:
-        """Take a word over where it is newer; True if others are to be told of it."""
+        """Store a limit if it is newer; return True if it must be announced."""
         known = self._limits.pop(server, None)
         if known is not None and limit.heard_at_ms < known.heard_at_ms:
             self._limits[server] = known
@@ -63,27 +68,28 @@
         if known is None and limit.rate_per_s is None:
             return False
         self._limits[server] = limit
-        self._drop_oldest()
-        return self._is_news(server, limit)
+        self._evict_oldest()
+        return self._update_announced(server, limit)
 
     def held(self, now_ms: int) -> dict[ServerName, RateLimit]:
-        """Return all words that count, also those that a limit has ended."""
+        """Return all limits that have not expired, and all unexpired removals."""
         return {
             server: limit
             for server, limit in self._limits.items()
             if now_ms < limit.valid_until_ms
         }
 
-    def _is_news(self, server: ServerName, limit: RateLimit) -> bool:
-        told = self._told.get(server)
-        if told is not None and not limit.differs_from(told):
-            if limit.heard_at_ms - told.heard_at_ms < RENEW_MS:
+    def _update_announced(self, server: ServerName, limit: RateLimit) -> bool:
+        """Return whether a limit must be announced, and if so mark it as announced."""
+        announced = self._announced.get(server)
+        if announced is not None and not limit.differs_from(announced):
+            if limit.heard_at_ms - announced.heard_at_ms < RENEWAL_INTERVAL_MS:
                 return False
-        self._told[server] = limit
+        self._announced[server] = limit
         return True
 
-    def _drop_oldest(self) -> None:
-        while len(self._limits) > LIMITS_KEPT:
+    def _evict_oldest(self) -> None:
+        while len(self._limits) > MAXIMUM_LIMITS:
             server = next(iter(self._limits))
             del self._limits[server]
-            self._told.pop(server, None)
+            self._announced.pop(server, None)
--- a/src/cinderway/pushback/_messages.py
+++ b/src/cinderway/pushback/_messages.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of the rates that servers name."""
+"""Messages by which processes exchange servers' rate limits."""
 
 from collections.abc import Mapping
 
@@ -9,10 +9,10 @@
 
 
 class ServerLimit(PackedRow, frozen=True):
-    """The requests a second that a server takes of the whole fleet.
+    """The rate limit of one server, in requests per second from the whole fleet.
 
-    `rate_per_s` is None where it names no limit any more. `ago_ms` tells how long ago
-    an entry heard it, so that no two clocks are compared.
+    `rate_per_s` is None if the server has removed its limit. `ago_ms` is the age of the
+    update since an entry received it, so that no clocks are compared across processes.
     """
 
     server: ServerName
@@ -20,18 +20,18 @@
     ago_ms: int
 
     def limit(self, now_ms: int) -> RateLimit:
-        """Return the limit by the clock here."""
+        """Return the limit with its time converted to the local clock."""
         return RateLimit(self.rate_per_s, now_ms - max(self.ago_ms, 0))
 
 
 class ServerLimits(PackedMessage, frozen=True):
-    """Limits that servers have named, or named no more."""
+    """Rate limits that servers have announced or removed."""
 
     lines: list[ServerLimit]
 
     @classmethod
     def of(cls, limits: Mapping[ServerName, RateLimit], now_ms: int) -> "ServerLimits":
-        """Return the message that brings limits to another process."""
+        """Build the message that sends limits to another process."""
         return cls(
             [
                 ServerLimit(server, limit.rate_per_s, now_ms - limit.heard_at_ms)
@@ -41,9 +41,9 @@
 
 
 class FleetEntries(Message, frozen=True):
-    """The entries that follow a control replica, and which replicas there are.
+    """The entries connected to one control replica, and the list of all replicas.
 
-    By this each of them knows its part of the rates that servers name.
+    Each entry computes its share of servers' rate limits from this.
     """
 
     replica: Address
@@ -52,7 +52,7 @@
 
     @property
     def group(self) -> EntryGroup:
-        """The group whose part the entries divide among them."""
+        """The group of entries that divide one part of each rate limit."""
         return EntryGroup(
             self.replica, frozenset(self.replicas), frozenset(self.entries)
         )
--- a/src/cinderway/pushback/_rate_shares.py
+++ b/src/cinderway/pushback/_rate_shares.py
@@ -1,10 +1,11 @@
-"""Which entries may send to a server that names a rate, and how much each. Pure.
-
-The rate holds for the fleet as a whole. An equal part for each entry would be less than
-one request in any useful time, and what all may save up, a request each, breaks the
-limit as soon as there are many. So a few entries divide the rate among them, and the
-others leave the server alone. They are chosen by rendezvous hashing: nobody is asked,
-and what is known of the fleet stays in force while control is away.
+"""Selects the entries that may send to a rate-limited server, and their shares. Pure.
+
+The rate limit applies to the whole fleet. With an equal share for each entry, an entry
+could not send even one request in any useful time. And since each entry may hold one
+unused token, many entries together would exceed the limit. So a few entries divide the
+rate among themselves, and the others do not send to the server. They are chosen by
+rendezvous hashing. This needs no coordination, and the last known state of the fleet
+stays in force while the control process is unreachable.
 """
 
 import math
@@ -14,24 +15,25 @@
 from cinderway._ids import EntryName, ServerName
 from cinderway.routing import rank_of
 
-# What servers bear: in any window this many times their rate, and so many requests
-# more. Source: the users' promise to backend servers.
-WINDOW_S = 4.0
-TOLERANCE = 1.5
-EXTRA_REQUESTS = 5
-# Of those that divide a rate, as many as may be counted twice: they were cut off, go on
-# by what they knew, and others have taken their place.
-OVERLAP = 0.3
-# Of a server that takes less, or nothing at all: so it is found out that it takes more.
-LEAST_RATE_PER_S = 0.1
+# Servers tolerate in any window this multiple of their rate, and so many requests more.
+# Source: the users' commitment to backend servers.
+TOLERANCE_WINDOW_S = 4.0
+TOLERANCE_FACTOR = 1.5
+TOLERATED_BURST = 5
+# Share of the entries dividing a rate that may be counted twice: they are partitioned
+# and continue with outdated state, while other entries have taken their place.
+OVERLAP_SHARE = 0.3
+# Used instead of a lower rate or zero, so that an occasional request shows when the
+# server accepts more again.
+MINIMUM_RATE_PER_S = 0.1
 
 
 @dataclass(frozen=True)
 class EntryGroup:
-    """The entries of one group of the fleet's, which divide a part of each rate.
+    """One group of entries in the fleet, which divides a part of each rate limit.
 
-    `name` is one of `groups`. An entry belongs to one group at a time: the followers of
-    one control replica, or the whole fleet where entries know each other.
+    `name` is one of `groups`. An entry belongs to one group at a time: the entries
+    connected to one control replica, or the whole fleet where entries know each other.
     """
 
     name: str
@@ -39,27 +41,27 @@
     entries: frozenset[EntryName]
 
 
-def holder_count(rate_per_s: float) -> int:
+def compute_holder_count(rate_per_s: float) -> int:
     """Return how many entries may divide a rate.
 
-    Each may save up one request. These and the rate itself stay below what servers
-    bear, also where a part of the entries is counted twice.
+    Each may hold one unused token. The requests from these tokens plus the rate itself
+    stay below what servers tolerate, also when a part of the entries is counted twice.
     """
-    borne = TOLERANCE * rate_per_s * WINDOW_S + EXTRA_REQUESTS
-    spare = borne / (1 + OVERLAP) - rate_per_s * WINDOW_S
-    return max(math.floor(spare), 1)
+    tolerated = TOLERANCE_FACTOR * rate_per_s * TOLERANCE_WINDOW_S + TOLERATED_BURST
+    unused_tokens = tolerated / (1 + OVERLAP_SHARE) - rate_per_s * TOLERANCE_WINDOW_S
+    return max(math.floor(unused_tokens), 1)
 
 
 def share_of(
     server: ServerName, rate_per_s: float, entry: EntryName, group: EntryGroup | None
 ) -> float:
-    """Return the requests a second that an entry may send; 0 where others may.
+    """Return an entry's share of a rate in requests per second, 0 if it has none.
 
-    An entry that knows of no group yet sends nothing.
+    An entry that does not know its group yet sends nothing.
     """
     if group is None:
         return 0.0
-    holders = holder_count(rate_per_s)
+    holders = compute_holder_count(rate_per_s)
     names = group.groups | {group.name}
     count = holders // len(names)
     if group.name in _first_by_rank(server, names, holders % len(names)):
@@ -73,7 +75,7 @@
 def _first_by_rank(
     server: ServerName, names: Collection[str], count: int
 ) -> frozenset[str]:
-    """Return the first names in a server's own order of them."""
+    """Return the first `count` names in the rendezvous hashing order of a server."""
     if count >= len(names):
         return frozenset(names)
     ranked = sorted(names, key=lambda name: rank_of(server, name), reverse=True)
--- a/src/cinderway/pushback/_turns.py
+++ b/src/cinderway/pushback/_turns.py
@@ -1,4 +1,4 @@
-"""When one entry may send its next request to a server that names a rate. Pure."""
+"""Token bucket by which one entry paces its requests to a rate-limited server. Pure."""
 
 import math
 from dataclasses import dataclass
@@ -8,54 +8,55 @@
 
 @dataclass
 class RateTurns:
-    """One entry's turns at one server, evenly spaced; one may be saved up.
+    """One entry's token bucket for one server; it holds at most one token.
 
-    `share_per_s` is the entry's part of the server's rate, 0 where it has none.
+    `rate_per_s` is the server's limit for the whole fleet; `share_per_s` is the entry's
+    share of it, 0 if it has none.
     """
 
     valid_until_ms: int
     rate_per_s: float
     share_per_s: float = 0.0
-    # The last turn, or since when the entry has had a part. It begins without a turn:
-    # whoever had this part before may just have used one.
+    # When the last token was consumed, or when the entry received its share. The bucket
+    # starts empty, since the previous owner of the share may just have used a token.
     _last_ms: int = 0
 
     @property
-    def pause_ms(self) -> float:
-        """The time between two turns; infinite without a part."""
+    def token_interval_ms(self) -> float:
+        """The interval between two tokens; infinite without a share."""
         return MS_PER_S / self.share_per_s if self.share_per_s else math.inf
 
     @property
     def next_at_ms(self) -> float:
-        """When the next turn comes; infinite without a part."""
-        return self._last_ms + self.pause_ms
+        """When the next token becomes available; infinite without a share."""
+        return self._last_ms + self.token_interval_ms
 
-    def next_in_fleet_ms(self, now_ms: int) -> float:
-        """Return the time to the next turn, of this entry or else of the others."""
+    def compute_next_in_fleet_ms(self, now_ms: int) -> float:
+        """Return the time until the next token; without a share, the rate's interval."""
         if not self.share_per_s:
             return MS_PER_S / self.rate_per_s
         return max(self.next_at_ms - now_ms, 0)
 
     def set_share(self, share_per_s: float, now_ms: int) -> None:
-        """Take over the entry's part of the rate."""
+        """Set the entry's share of the rate."""
         if not self.share_per_s:
             self._last_ms = now_ms
         self.share_per_s = share_per_s
 
-    def count_until(self, until_ms: float) -> int:
-        """Return how many turns come before then."""
+    def count_tokens_until(self, until_ms: float) -> int:
+        """Return how many tokens become available before `until_ms`."""
         if until_ms <= self.next_at_ms:
             return 0
-        return math.ceil((until_ms - self.next_at_ms) / self.pause_ms)
+        return math.ceil((until_ms - self.next_at_ms) / self.token_interval_ms)
 
     def take(self, now_ms: int) -> bool:
-        """Use the turn that is due; False if none is."""
+        """Consume a token; return False if none is available."""
         if now_ms < self.next_at_ms:
             return False
         self._last_ms = now_ms
         return True
 
     def give_back(self) -> None:
-        """Make the last turn due again: nothing was sent."""
+        """Return the last token, because nothing was sent."""
         if self.share_per_s:
-            self._last_ms -= math.ceil(self.pause_ms)
+            self._last_ms -= math.ceil(self.token_interval_ms)
--- a/src/cinderway/pushback/_words.py
+++ b/src/cinderway/pushback/_words.py
@@ -1,7 +1,7 @@
-"""Read what an answer's head says of its server. Pure; anything may come in.
+"""Parses pushback from response headers. Pure; accepts arbitrary input.
 
 Source: RFC 9110, sections 10.2.3 (Retry-After) and 5.6.7 (dates). Fractions of a second
-go beyond it, and backend servers send them.
+are not part of the RFC, but backend servers send them.
 """
 
 import re
@@ -12,30 +12,30 @@
 
 UNAVAILABLE = 503
 TOO_MANY_REQUESTS = 429
-# Longer ones are cut: a server that asks for an hour by mistake is found again within
-# minutes, one that meant it is asked a few times too often.
-REST_LIMIT_MS = 600_000
-# Twelve digits and three after the point say more than any limit.
-SECONDS = re.compile(rb"(\d{1,12})(\.\d{0,9})?|(\.\d{1,9})")
-# A decimal number, with an exponent if need be.
-RATE = re.compile(rb"(\d{1,12}(\.\d{0,9})?|\.\d{1,9})([eE][+-]?\d{1,2})?")
+# Longer backoffs are capped. A server that asks for an hour by mistake gets requests
+# again within minutes; one that meant it gets a few requests too many.
+MAXIMUM_BACKOFF_MS = 600_000
+# Twelve digits and three decimals are more than any limit needs.
+SECONDS_PATTERN = re.compile(rb"(\d{1,12})(\.\d{0,9})?|(\.\d{1,9})")
+# A decimal number with an optional exponent.
+RATE_PATTERN = re.compile(rb"(\d{1,12}(\.\d{0,9})?|\.\d{1,9})([eE][+-]?\d{1,2})?")
 RETRY_AFTER = b"retry-after"
 DATE = b"date"
-NO = b"0"
+FALSE = b"0"
 
 Headers = Iterable[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True)
 class ServerWords:
-    """What a server said of itself: `rest_ms` is None where it asked for no rest.
+    """Pushback in one response; `backoff_ms` is None if it requests no backoff.
 
-    `rate_limit_per_s` is how many requests a second it takes from all entries together,
-    None where it names no such limit, or none that can be read; `names_limit` tells
-    these apart.
+    `rate_limit_per_s` is the rate that the server accepts from all entries together. It
+    is None if there is no limit header or no valid value in it; `names_limit` is True
+    only in the second case.
     """
 
-    rest_ms: int | None = None
+    backoff_ms: int | None = None
     is_leaving: bool = False
     rate_limit_per_s: float | None = None
     names_limit: bool = False
@@ -53,58 +53,61 @@
     limit_header: bytes,
     wall_clock_ms: int,
 ) -> ServerWords:
-    """Return what an answer's head says of its server.
+    """Parse the pushback in a response's status and headers.
 
-    `is_shed` says that the server did not run the request. A 429 asks for rest only
-    then: any other is about the caller. Of several waits the longest counts; one that
-    cannot be read counts as none. Of several rate limits the lowest counts.
+    `is_shed` means that the server did not run the request. Only then does a 429
+    request a backoff from the entry; any other 429 is addressed to the caller. The
+    longest of several backoffs counts, and an invalid one counts as none. The lowest of
+    several rate limits counts.
     """
-    rest_ms, is_leaving, date_ms = None, False, wall_clock_ms
-    waits: list[bytes] = []
-    limits: list[bytes] = []
+    backoff_ms, is_leaving, date_ms = None, False, wall_clock_ms
+    retry_after_values: list[bytes] = []
+    limit_values: list[bytes] = []
     for name, value in headers:
         lower = name.lower()
         if lower == RETRY_AFTER:
-            waits.append(value)
+            retry_after_values.append(value)
         elif lower == DATE:
-            # By the server's own clock, where it tells it: ours may differ.
-            date_ms = _date_ms(value) or wall_clock_ms
+            # Use the server's own clock if it sends a date, since ours may differ.
+            date_ms = _parse_date_ms(value) or wall_clock_ms
         elif lower == leaving_header:
-            is_leaving = value.strip() != NO
+            is_leaving = value.strip() != FALSE
         elif lower == limit_header:
-            limits.append(value)
-    asks = status == UNAVAILABLE or (status == TOO_MANY_REQUESTS and is_shed)
-    if asks:
-        rest_ms = _longest_ms(waits, date_ms)
-    if not (rest_ms or is_leaving or limits):
+            limit_values.append(value)
+    has_backoff = status == UNAVAILABLE or (status == TOO_MANY_REQUESTS and is_shed)
+    if has_backoff:
+        backoff_ms = _parse_backoff_ms(retry_after_values, date_ms)
+    if not (backoff_ms or is_leaving or limit_values):
         return NO_WORDS
-    return ServerWords(rest_ms, is_leaving, _lowest_per_s(limits), bool(limits))
+    return ServerWords(
+        backoff_ms, is_leaving, _parse_rate_per_s(limit_values), bool(limit_values)
+    )
 
 
-def _longest_ms(waits: list[bytes], date_ms: int) -> int | None:
-    found = [_wait_ms(text.strip(), date_ms) for text in waits]
-    return min(max(found, default=0), REST_LIMIT_MS) or None
+def _parse_backoff_ms(retry_after_values: list[bytes], date_ms: int) -> int | None:
+    parsed = [_parse_wait_ms(text.strip(), date_ms) for text in retry_after_values]
+    return min(max(parsed, default=0), MAXIMUM_BACKOFF_MS) or None
 
 
-def _lowest_per_s(limits: list[bytes]) -> float | None:
-    texts = [text.strip() for text in limits]
-    return min((float(t) for t in texts if RATE.fullmatch(t)), default=None)
+def _parse_rate_per_s(limit_values: list[bytes]) -> float | None:
+    texts = [text.strip() for text in limit_values]
+    return min((float(t) for t in texts if RATE_PATTERN.fullmatch(t)), default=None)
 
 
-def _wait_ms(text: bytes, date_ms: int) -> int:
-    """Return one wait, 0 where there is none to read."""
-    if SECONDS.fullmatch(text):
+def _parse_wait_ms(text: bytes, date_ms: int) -> int:
+    """Parse one Retry-After value; return 0 if it is invalid."""
+    if SECONDS_PATTERN.fullmatch(text):
         return round(float(text) * 1000)
-    until_ms = _date_ms(text)
+    until_ms = _parse_date_ms(text)
     return max(until_ms - date_ms, 0) if until_ms is not None else 0
 
 
-def _date_ms(text: bytes) -> int | None:
-    """Return a date as milliseconds since the epoch, or None."""
+def _parse_date_ms(text: bytes) -> int | None:
+    """Parse an HTTP date to milliseconds since the epoch; None if it is invalid."""
     try:
-        found = parsedate_to_datetime(text.decode("ascii"))
+        parsed = parsedate_to_datetime(text.decode("ascii"))
     except (ValueError, TypeError, IndexError, OverflowError):
         return None
-    if found.tzinfo is None:
-        found = found.replace(tzinfo=UTC)
-    return round((found - datetime.fromtimestamp(0, UTC)).total_seconds() * 1000)
+    if parsed.tzinfo is None:
+        parsed = parsed.replace(tzinfo=UTC)
+    return round((parsed - datetime.fromtimestamp(0, UTC)).total_seconds() * 1000)
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -42,7 +42,7 @@
         super().__init__(names(rate), names=names_, connect_ms=connect_ms)
         self.board.use_group(group(*others), monotonic_ms())
 
-    def kept(self):
+    def get_pushback(self):
         return self.board.services[SERVICE].servers[LIMITED].pushback
 
     def sent_after(self, at_ms):
@@ -107,7 +107,7 @@
             told = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
             world.board.hear_limits(told, monotonic_ms())
             await anyio.sleep(2)
-            turns = world.kept().turns
+            turns = world.get_pushback().turns
             turns.take(monotonic_ms())
             turns.give_back()
             return turns.take(monotonic_ms())
@@ -179,12 +179,12 @@
             told = ServerLimits([ServerLimit(LIMITED, 2.0, 0)])
             world.board.hear_limits(told, monotonic_ms())
             await world.ask()
-            return world, world.kept().back_in_ms(monotonic_ms())
+            return world, world.get_pushback().retry_after_ms(monotonic_ms())
 
-        world, back_in_ms = run_in_virtual_time(play)
+        world, retry_after_ms = run_in_virtual_time(play)
         self.assertEqual(world.connections.arrivals, [])
         self.assertEqual(world.outcomes, [ErrorCode.BACKEND_LIMITED])
-        self.assertEqual(back_in_ms, 500)
+        self.assertEqual(retry_after_ms, 500)
 
 
 class EndTests(unittest.TestCase):
@@ -231,7 +231,7 @@
                 RateLimit(None, now_ms),
                 RateLimit(2.0, now_ms - 300),
             ):
-                book.learn_limit(LIMITED, world.kept(), limit, now_ms)
-            return world.kept().is_limited(now_ms)
+                book.learn_limit(LIMITED, world.get_pushback(), limit, now_ms)
+            return world.get_pushback().is_limited(now_ms)
 
         self.assertFalse(run_in_virtual_time(play))
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -51,7 +51,7 @@
             self.assertLessEqual(plan.per_entry * entries, limit)
 
     def test_a_large_fleet_respects_the_limit_by_subsets(self):
-        """1,100 entries choose subsets of 28 servers that allow 200 connections each."""
+        """1,100 entries choose subsets of 28 servers, which allow 200 connections."""
         servers = [f"s{n}" for n in range(28)]
         plan = plan_connections(200, 1_100, len(servers))
         connections = Counter()
--- a/tests/pushback/test_book.py
+++ b/tests/pushback/test_book.py
@@ -1,4 +1,4 @@
-"""What each start of a server asked for, and how long that is kept."""
+"""Storage and expiry of the pushback of each run of a server."""
 
 import unittest
 
@@ -7,66 +7,68 @@
 from cinderway._ids import ServerName
 from cinderway.pushback import (
     LEAVING_VALID_MS,
-    PUSHBACK_KEPT_LIMIT,
+    MAXIMUM_TRACKED_SERVERS,
     PushbackBook,
     ServerWords,
 )
 
 SERVER = ServerName("i-1")
-REST = ServerWords(rest_ms=3_000)
-LEAVES = ServerWords(is_leaving=True)
+BACKOFF = ServerWords(backoff_ms=3_000)
+LEAVING = ServerWords(is_leaving=True)
 
 
-def noted(words, now_ms=1_000, book=None):
+def record(words, now_ms=1_000, book=None):
     book = book or PushbackBook()
     book.note(SERVER, book.of(SERVER), words, now_ms)
     return book
 
 
-class RestTests(unittest.TestCase):
-    def test_a_rest_holds_from_its_answer_until_its_time_is_over(self):
-        kept = noted(REST).of(SERVER)
-        self.assertTrue(kept.rests(1_000))
-        self.assertTrue(kept.rests(3_999))
-        self.assertFalse(kept.rests(4_000))
+class BackoffTests(unittest.TestCase):
+    def test_a_backoff_lasts_for_the_requested_time_after_the_response(self):
+        pushback = record(BACKOFF).of(SERVER)
+        self.assertTrue(pushback.is_backing_off(1_000))
+        self.assertTrue(pushback.is_backing_off(3_999))
+        self.assertFalse(pushback.is_backing_off(4_000))
 
     @given(st.lists(st.tuples(st.integers(0, 5_000), st.integers(1, 5_000))))
-    def test_no_later_word_ends_a_rest_sooner(self, asked):
+    def test_a_later_shorter_backoff_does_not_shorten_an_earlier_one(self, backoffs):
         book, until_ms = PushbackBook(), 0
-        for now_ms, rest_ms in asked:
-            noted(ServerWords(rest_ms), now_ms, book)
-            until_ms = max(until_ms, now_ms + rest_ms)
-        self.assertEqual(book.of(SERVER).rests_until_ms, until_ms)
+        for now_ms, backoff_ms in backoffs:
+            record(ServerWords(backoff_ms), now_ms, book)
+            until_ms = max(until_ms, now_ms + backoff_ms)
+        self.assertEqual(book.of(SERVER).backoff_until_ms, until_ms)
 
-    def test_another_start_of_the_server_is_asked_for_no_rest(self):
-        book = noted(REST)
-        self.assertFalse(book.of(ServerName("i-1 started again")).rests(1_001))
+    def test_a_restarted_server_has_no_backoff(self):
+        book = record(BACKOFF)
+        self.assertFalse(book.of(ServerName("i-1 started again")).is_backing_off(1_001))
 
 
 class LeavingTests(unittest.TestCase):
-    def test_a_start_that_leaves_gets_nothing_for_longer_than_leaving_takes(self):
-        self.assertTrue(noted(LEAVES).of(SERVER).leaves(1_800_000))
+    def test_leaving_is_valid_for_longer_than_a_shutdown_takes(self):
+        self.assertTrue(record(LEAVING).of(SERVER).leaves(1_800_000))
 
-    def test_a_later_start_that_got_a_forgotten_name_is_not_left_out_for_ever(self):
-        """The catalog forgets names of starts that are long over, this book may not."""
-        self.assertFalse(noted(LEAVES).of(SERVER).leaves(LEAVING_VALID_MS + 1_000))
+    def test_a_later_run_with_a_reused_name_is_not_excluded_for_ever(self):
+        """The catalog forgets names of runs that ended long ago and may reuse them."""
+        self.assertFalse(record(LEAVING).of(SERVER).leaves(LEAVING_VALID_MS + 1_000))
 
-    def test_where_names_outlive_starts_the_word_is_old_after_a_while(self):
-        kept = noted(LEAVES, book=PushbackBook(leaving_valid_ms=60_000)).of(SERVER)
-        self.assertTrue(kept.leaves(60_999))
-        self.assertFalse(kept.leaves(61_000))
+    def test_leaving_expires_sooner_where_servers_keep_their_names(self):
+        pushback = record(LEAVING, book=PushbackBook(leaving_valid_ms=60_000)).of(
+            SERVER
+        )
+        self.assertTrue(pushback.leaves(60_999))
+        self.assertFalse(pushback.leaves(61_000))
 
 
-class KeptTests(unittest.TestCase):
-    def test_nothing_is_kept_of_servers_that_asked_for_nothing(self):
+class EvictionTests(unittest.TestCase):
+    def test_servers_without_pushback_are_not_stored(self):
         book = PushbackBook()
-        self.assertFalse(book.of(SERVER).rests(0))
+        self.assertFalse(book.of(SERVER).is_backing_off(0))
         self.assertIsNot(book.of(SERVER), book.of(SERVER))
 
-    def test_the_servers_that_spoke_last_are_kept(self):
-        book = noted(REST)
-        for number in range(PUSHBACK_KEPT_LIMIT):
+    def test_the_least_recently_updated_server_is_evicted(self):
+        book = record(BACKOFF)
+        for number in range(MAXIMUM_TRACKED_SERVERS):
             name = ServerName(f"other-{number}")
-            book.note(name, book.of(name), REST, 1_000)
-        self.assertFalse(book.of(SERVER).rests(1_001))
-        self.assertTrue(book.of(ServerName("other-0")).rests(1_001))
+            book.note(name, book.of(name), BACKOFF, 1_000)
+        self.assertFalse(book.of(SERVER).is_backing_off(1_001))
+        self.assertTrue(book.of(ServerName("other-0")).is_backing_off(1_001))
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -290,7 +290,7 @@
     Guard(
         "a server that asked for rest is not chosen",
         "entry/servers/_holds.py",
-        "    return server.takes_work(now_ms) and server.pushback.is_open(now_ms)\n",
+        "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
         "    return server.takes_work(now_ms)\n",
         PUSHBACK_TESTS,
     ),
@@ -325,8 +325,8 @@
     Guard(
         "a server is chosen only where a turn is due",
         "pushback/_book.py",
-        "        return now_ms >= self.opens_at_ms(now_ms)\n",
-        "        return now_ms >= self.rests_until_ms\n",
+        "        return now_ms >= self.accepts_at_ms(now_ms)\n",
+        "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
