--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend server, over a connection that serves one at a time."""
+"""Connections to backend servers; each carries one HTTP/1.1 request at a time."""
 
 import select
 import socket
@@ -23,60 +23,61 @@
 from cinderway.limits import ConnectLimit
 from cinderway.wire import split_address
 
-SENDING_BEGAN = "http11.send_request_headers.started"
+SENDING_STARTED_EVENT = "http11.send_request_headers.started"
 
 
 class ConnectionLostError(CinderwayError):
-    """The server's side of a connection ended while a request was there."""
+    """The server closed the connection while a request was in progress."""
 
 
-# Asked when a connection is there and nothing is written yet: why not to write.
+# Called when the connection is open and before the request is written. If it returns an
+# error, the request is not written.
 Objection = Callable[[], CinderwayError | None]
 
 
 def no_objection() -> None:
-    """Object to nothing."""
+    """Allow every request."""
 
 
 class _Stream(httpcore.AsyncNetworkStream):
     """An anyio stream for httpcore, without a timer for each read and write.
 
-    Timeouts are set once around the whole attempt; httpcore's own stream enters a
-    cancel scope for every call, which is most of what a small request costs.
+    Timeouts are set once around the whole attempt. httpcore's own stream enters a
+    cancel scope for every call, which is most of the cost of a small request.
     """
 
     def __init__(self, stream: anyio.abc.SocketStream):
         self._stream = stream
-        # Whether the server's side of the connection is gone.
-        self.has_ended = False
+        # Whether the server has closed the connection.
+        self.is_closed_by_server = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what is there, or b"" at the end."""
+        """Return the available bytes, or b"" at the end of the stream."""
         try:
             return await self._stream.receive(max_bytes)
         except anyio.EndOfStream:
-            self.has_ended = True
+            self.is_closed_by_server = True
             return b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            self.has_ended = True
+            self.is_closed_by_server = True
             raise httpcore.ReadError(str(error)) from error
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Send all of a buffer."""
+        """Send the whole buffer."""
         if not buffer:
             return
         try:
             await self._stream.send(buffer)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
-            self.has_ended = True
+            self.is_closed_by_server = True
             raise httpcore.WriteError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Close at once: nothing of an answer is waited for any longer."""
+        """Close at once, without waiting for the rest of a response."""
         await anyio.aclose_forcefully(self._stream)
 
     def get_extra_info(self, info: str):
-        """Return the socket, by which httpcore sees that the server closed it."""
+        """Return whether the socket is readable; httpcore detects closing by this."""
         if info == "is_readable":
             raw = self._stream.extra(anyio.abc.SocketAttribute.raw_socket)
             return _is_readable(raw)
@@ -94,29 +95,29 @@
     http: httpcore.AsyncHTTP11Connection
     pool: "BackendConnections"
     is_reusable: bool = False
-    sending_began: bool = False
+    has_started_sending: bool = False
     idle_limit_ms: int = 0
     idle_until_ms: int = 0
 
     @property
-    def has_surplus(self) -> bool:
-        """Whether the server sent more than its answer: it belongs to no request.
+    def has_trailing_data(self) -> bool:
+        """Whether the server sent data beyond its response; it belongs to no request.
 
-        httpcore has no public way to ask for what h11 has read ahead.
+        httpcore has no public API for the data that h11 has read ahead.
         """
-        surplus, _ = self.http._h11_state.trailing_data
-        return bool(surplus)
+        trailing_data, _ = self.http._h11_state.trailing_data
+        return bool(trailing_data)
 
     async def trace(self, event: str, info: dict) -> None:
-        if event == SENDING_BEGAN:
-            self.sending_began = True
+        if event == SENDING_STARTED_EVENT:
+            self.has_started_sending = True
 
     async def give_back(self, response: httpcore.Response | None) -> None:
-        # A connection whose answer was not read to its end may still bring the
-        # rest of it: reused, it would give one caller another's answer.
+        # A connection whose response was not read to the end may still deliver the
+        # rest of it. If reused, it would give one caller another caller's response.
         if response is not None and self.is_reusable:
             await response.aclose()
-        if self.is_reusable and self.http.is_idle() and not self.has_surplus:
+        if self.is_reusable and self.http.is_idle() and not self.has_trailing_data:
             self.idle_until_ms = monotonic_ms() + self.idle_limit_ms
             if self.pool.keep(self):
                 return
@@ -126,7 +127,7 @@
 
 @dataclass
 class BackendConnections:
-    """Idle connections by address. Never holds a busy one."""
+    """Pool of idle connections by address; it never holds one that is in use."""
 
     idle_limit: int = 64
     names: HeaderNames = OWN_NAMES
@@ -145,12 +146,12 @@
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
-        """Send a request and return its answer's head.
+        """Send a request and return the head of its response.
 
         Raises CinderwayError: with step CONNECT nothing was written, so the request
-        did not run; with AWAIT_ANSWER it may have. `fresh` takes a new connection,
-        since a server may close an idle one just while a request goes out on it.
-        What `objection` returns is raised, and nothing is written then.
+        did not run; with AWAIT_ANSWER it may have. `fresh` forces a new connection,
+        since a server may close an idle one just while a request is sent on it. If
+        `objection` returns an error, it is raised and nothing is written.
         """
         connection = None if fresh else await self._idle_connection(address)
         if connection is None:
@@ -160,7 +161,7 @@
             await connection.give_back(None)
             raise reason
         connection.is_reusable = False
-        connection.sending_began = False
+        connection.has_started_sending = False
         response = None
         try:
             response = await connection.http.handle_async_request(
@@ -169,9 +170,9 @@
                 )
             )
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            raise _attempt_failed(connection, address, error) from error
+            raise _build_attempt_error(connection, address, error) from error
         except httpcore.ConnectionNotAvailable as error:
-            raise _attempt_failed(connection, address, error) from error
+            raise _build_attempt_error(connection, address, error) from error
         finally:
             if response is None:
                 await connection.give_back(None)
@@ -179,7 +180,7 @@
         answer = BackendAnswer(
             response.status, headers, response, connection, self.names
         )
-        reason = answer.foreign_reason(attempt_id)
+        reason = answer.describe_mismatch(attempt_id)
         if reason:
             await connection.give_back(None)
             raise CinderwayError(
@@ -188,7 +189,7 @@
         return answer
 
     def keep(self, connection: _PooledConnection) -> bool:
-        """Keep an idle connection for the next request, unless there are enough."""
+        """Keep an idle connection for reuse; return False if the pool is full."""
         idle = self._idle.setdefault(connection.address, deque())
         if len(idle) >= self.idle_limit:
             return False
@@ -207,10 +208,10 @@
 
     async def _connect(self, address: Address) -> _PooledConnection:
         host, port = split_address(address)
-        began_ms = monotonic_ms()
+        start_ms = monotonic_ms()
         try:
-            # Learnt, since a fixed limit for the slowest link makes requests late that
-            # meet a dead server on a fast one.
+            # The timeout is adaptive: one fixed for the slowest link would make
+            # requests late that meet a dead server on a fast link.
             with anyio.fail_after(self.connect_limit.limit_ms / 1000):
                 stream = await anyio.connect_tcp(host.strip("[]"), port)
         except (OSError, TimeoutError) as error:
@@ -223,14 +224,14 @@
                 peer=address,
             ) from error
         self.opened += 1
-        self.connect_limit.note_made(monotonic_ms() - began_ms)
-        own_stream = _Stream(stream)
+        self.connect_limit.note_made(monotonic_ms() - start_ms)
+        http_stream = _Stream(stream)
         http = httpcore.AsyncHTTP11Connection(
             httpcore.Origin(b"http", host.encode(), port),
-            own_stream,
+            http_stream,
             keepalive_expiry=IDLE_LIMIT_S,
         )
-        return _PooledConnection(address, own_stream, http, self)
+        return _PooledConnection(address, http_stream, http, self)
 
     def _http_request(
         self,
@@ -260,13 +261,15 @@
         )
 
 
-def _attempt_failed(
+def _build_attempt_error(
     connection: _PooledConnection, address: Address, error: Exception
 ) -> CinderwayError:
-    step = Step.AWAIT_ANSWER if connection.sending_began else Step.CONNECT
-    # Bytes that are no answer are not taken for a connection that broke.
-    has_ended = step is Step.AWAIT_ANSWER and connection.stream.has_ended
-    kind = ConnectionLostError if has_ended else CinderwayError
+    step = Step.AWAIT_ANSWER if connection.has_started_sending else Step.CONNECT
+    # An invalid response does not count as a broken connection.
+    is_closed_by_server = (
+        step is Step.AWAIT_ANSWER and connection.stream.is_closed_by_server
+    )
+    kind = ConnectionLostError if is_closed_by_server else CinderwayError
     return kind(
         ErrorCode.BACKEND_FAILED,
         f"the attempt failed: {str(error) or type(error).__name__}",
--- a/src/cinderway/entry/servers/_candidates.py
+++ b/src/cinderway/entry/servers/_candidates.py
@@ -1,4 +1,4 @@
-"""The servers that a request may go to now, with what is known of their load."""
+"""Candidate servers for a request, with the known load of each."""
 
 import random
 from collections.abc import Collection
@@ -8,18 +8,19 @@
 from cinderway.judgement import suspicion_left
 from cinderway.routing import Candidate, draw_few
 
-# A server that has just started takes about twice as long for each request.
-COLD_SHARE = 0.5
+# Share factor for a server that has just started, which takes about twice as long for
+# each request.
+WARMUP_SHARE = 0.5
 
 
-def free_servers(
+def find_free_servers(
     subset: list[tuple[ServerState, int]],
     exclude: Collection[ServerName],
     now_ms: int,
 ) -> list[ServerState]:
-    """Return the servers that are below their limit of requests and not paused.
+    """Return the servers that are not paused and have a free slot for this entry.
 
-    `subset` holds each server with how many requests it may get from this entry.
+    `subset` pairs each server with its limit of concurrent requests from this entry.
     """
     return [
         server
@@ -30,27 +31,27 @@
     ]
 
 
-def drawn_candidates(
+def sample_candidates(
     free: list[ServerState], own_hall: DataHall, rng: random.Random, now_ms: int
 ) -> list[Candidate]:
-    """Return a few of the free servers, of the own hall and of others.
+    """Return a random sample of the free servers, from the own hall and from others.
 
-    What is known of a server is put together for those alone that are drawn: a service
-    may have hundreds.
+    Candidates are built only for the sample, since a service may have hundreds of
+    servers.
     """
     own = [server for server in free if server.row.data_hall == own_hall]
     others = [server for server in free if server.row.data_hall != own_hall]
-    drawn = draw_few(own, rng) + draw_few(others, rng)
-    return all_candidates(drawn, now_ms)
+    sample = draw_few(own, rng) + draw_few(others, rng)
+    return build_candidates(sample, now_ms)
 
 
-def all_candidates(free: list[ServerState], now_ms: int) -> list[Candidate]:
-    """Return all of the free servers, with what is known of each."""
-    return [_candidate(server, now_ms) for server in free]
+def build_candidates(free: list[ServerState], now_ms: int) -> list[Candidate]:
+    """Return a candidate for each of the free servers."""
+    return [_build_candidate(server, now_ms) for server in free]
 
 
-def _candidate(server: ServerState, now_ms: int) -> Candidate:
-    is_cold = now_ms < server.warm_until_ms
+def _build_candidate(server: ServerState, now_ms: int) -> Candidate:
+    is_warming_up = now_ms < server.warm_until_ms
     return Candidate(
         name=server.row.name,
         data_hall=server.row.data_hall,
@@ -59,5 +60,5 @@
         in_flight=server.in_flight,
         known_load=server.load_at(now_ms),
         suspicion=suspicion_left(server.suspect_until_ms, now_ms),
-        share=server.share * (COLD_SHARE if is_cold else 1),
+        share=server.share * (WARMUP_SHARE if is_warming_up else 1),
     )
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -1,4 +1,4 @@
-"""Bring a request to a backend server: wait for a slot, attempt, note what came."""
+"""Dispatches requests to backend servers: acquire a slot, send, record the outcome."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -12,12 +12,12 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._backends import BackendConnections, ConnectionLostError
-from cinderway.entry.servers._holds import hold_of, turn_refusal
+from cinderway.entry.servers._holds import check_rate_limit, check_server
 from cinderway.entry.servers._messages import (
     BackendAnswer,
     BackendRequest,
 )
-from cinderway.entry.servers._notes import Notes, Sending
+from cinderway.entry.servers._notes import AttemptRecorder, OutgoingAttempt
 from cinderway.entry.servers._permit import UNLIMITED, Permit
 from cinderway.entry.servers._slots import Slots, WantedSlot
 from cinderway.judgement import (
@@ -29,8 +29,9 @@
 from cinderway.pushback import Turn
 from cinderway.routing import USUAL_PENALTIES, Penalties
 
-# After a shed the server gets nothing from this entry for about the time that one
-# of its slots stays taken.
+# After a shed, this entry sends the server nothing for about the time that one of its
+# slots stays occupied: the service time multiplied by this share plus a random number
+# below 1.
 SHED_PAUSE_SHARE = 0.5
 SHED_PAUSE_MINIMUM_MS = 2
 SHED_PAUSE_MAXIMUM_MS = 250
@@ -38,7 +39,7 @@
 
 @dataclass
 class Exchange:
-    """An answer under way, with where it comes from and its evidence."""
+    """A response in progress, with its server and its attempt in the evidence log."""
 
     answer: BackendAnswer
     server: ServerState
@@ -47,14 +48,14 @@
     permit: Permit = UNLIMITED
 
     def note_broken(self) -> None:
-        """Note that the connection broke before the answer's end."""
+        """Record that the connection broke before the end of the response."""
         run_ms = monotonic_ms() - self.started_at_ms
         self.permit.note_broken_run(self.server.row.name, run_ms)
 
 
 @dataclass
 class Dispatcher:
-    """Attempts for one entry."""
+    """Sends the attempts of one entry to backend servers."""
 
     board: Blackboard
     connections: BackendConnections
@@ -66,10 +67,10 @@
 
     def __post_init__(self):
         self.slots = Slots(self.board, self.connections, self.evidence)
-        self.notes = Notes(self.board, self.evidence, self.metrics)
+        self.notes = AttemptRecorder(self.board, self.evidence, self.metrics)
 
     def new_attempt_id(self) -> AttemptId:
-        """Return an id that no other attempt of the fleet has."""
+        """Return an attempt id that is unique in the fleet."""
         self._attempt_count += 1
         token = self.board.rng.getrandbits(64)
         return AttemptId(f"{self.board.name}-{token:016x}-{self._attempt_count}")
@@ -88,16 +89,17 @@
         objective_at_ms: int | None = None,
         permit: Permit = UNLIMITED,
     ) -> AsyncIterator[Exchange]:
-        """Yield the head of one server's answer; its slot is held until the exit.
+        """Send a request to one server and yield the head of its response.
 
-        The server is added to `exclude`, so that the next attempt tries another.
+        The slot is held until the exit. The server is added to `exclude`, so that the
+        next attempt tries another one.
 
-        Raises CinderwayError. Steps before DISPATCH and step CONNECT mean that the
-        server got nothing; HeldBackError that another may get the request at once;
-        BACKEND_SHED is the server's own word that it did not run it. QUEUE_FULL means
-        that its answer would come after `objective_at_ms`, where that is given, because
-        of the servers' queues. Where `permit` ends before the request is written, the
-        error has its refusal's code.
+        Raises CinderwayError. Steps before DISPATCH and step CONNECT mean that nothing
+        was sent to the server. HeldBackError means that the request may be sent to
+        another server at once. BACKEND_SHED means that the server stated that it did
+        not run the request. QUEUE_FULL means that the servers' queues would delay the
+        response past `objective_at_ms`, if that is given. If `permit` is withdrawn
+        before the request is written, the error has the code of the permit's refusal.
         """
         wanted = WantedSlot(deadline_ms, exclude, penalties, objective_at_ms, permit)
         server = await self.slots.take(service, wanted)
@@ -105,15 +107,17 @@
         was_tried = server.row.name in exclude
         exclude.add(server.row.name)
         attempt = self.evidence.begin(service.row.name, server.row.name, monotonic_ms())
-        sending = Sending(service, server, attempt, attempt_id, Turn(server.pushback))
-        # Used now, so that no other request is given the same one; whether it was there
-        # is asked when something is about to be written.
-        sending.turn.take(monotonic_ms())
+        outgoing = OutgoingAttempt(
+            service, server, attempt, attempt_id, Turn(server.pushback)
+        )
+        # Acquired now, so that no other request gets the same token. Whether it was
+        # granted is checked just before the request is written.
+        outgoing.turn.take(monotonic_ms())
         is_fresh = not is_repeatable
         try:
             try:
                 answer = await self._send(
-                    sending, request, deadline_ms, permit, is_fresh=is_fresh
+                    outgoing, request, deadline_ms, permit, is_fresh=is_fresh
                 )
             except CinderwayError as error:
                 if error.step is Step.QUEUE and not was_tried:
@@ -121,7 +125,7 @@
                 raise
             try:
                 started_at_ms = attempt.mark_ms
-                self._take_head(sending, answer)
+                self._apply_head(outgoing, answer)
                 yield Exchange(answer, server, attempt, started_at_ms, permit)
             finally:
                 with anyio.CancelScope(shield=True):
@@ -138,18 +142,20 @@
         request: BackendRequest,
         deadline_ms: int,
     ) -> None:
-        """Try one server out, beside callers' slots; what came goes to evidence."""
+        """Send a probe to one server, without a slot; record the result as evidence."""
         attempt = self.evidence.begin(
             service.row.name, server.row.name, monotonic_ms(), is_probe=True
         )
         turn = Turn(server.pushback)
-        sending = Sending(service, server, attempt, self.new_attempt_id(), turn)
+        outgoing = OutgoingAttempt(
+            service, server, attempt, self.new_attempt_id(), turn
+        )
         try:
             answer = await self._send(
-                sending, request, deadline_ms, UNLIMITED, is_fresh=False
+                outgoing, request, deadline_ms, UNLIMITED, is_fresh=False
             )
             try:
-                self.notes.head(sending, answer, monotonic_ms())
+                self.notes.record_head(outgoing, answer, monotonic_ms())
                 if not answer.is_shed:
                     self.evidence.first_byte(attempt, answer.status, monotonic_ms())
                     await self._read_probe(answer, attempt, deadline_ms)
@@ -162,7 +168,7 @@
     async def _read_probe(
         self, answer: BackendAnswer, attempt: Attempt, deadline_ms: int
     ) -> None:
-        """Read a probe's body: a server may stall after the first byte, too."""
+        """Read a probe's body, since a server may also stall after the first byte."""
         size_bytes = 0
         with anyio.move_on_after(max(deadline_ms - monotonic_ms(), 0) / 1000):
             async for chunk in answer.chunks():
@@ -172,15 +178,15 @@
 
     async def _send(
         self,
-        sending: Sending,
+        outgoing: OutgoingAttempt,
         request: BackendRequest,
         deadline_ms: int,
         permit: Permit,
         *,
         is_fresh: bool,
     ) -> BackendAnswer:
-        """Send over a connection, a new one if `is_fresh`; failures are evidence."""
-        server, attempt = sending.server, sending.attempt
+        """Send a request, over a new connection if `is_fresh`; record failures."""
+        server, attempt = outgoing.server, outgoing.attempt
         self.attempts += 1
         remaining_s = max(deadline_ms - monotonic_ms(), 0) / 1000
         try:
@@ -188,26 +194,26 @@
                 return await self.connections.send(
                     server.row.address,
                     request,
-                    sending.attempt_id,
+                    outgoing.attempt_id,
                     deadline_ms,
                     fresh=is_fresh,
                     expected=server.row.own_name,
-                    objection=lambda: _objection(sending, permit),
+                    objection=lambda: _check_before_write(outgoing, permit),
                 )
         except TimeoutError as error:
             self.evidence.fail(attempt, Bad.OVERDUE)
             raise CinderwayError(
                 ErrorCode.DEADLINE_PASSED,
-                "no answer before the deadline",
+                "no response before the deadline",
                 step=Step.AWAIT_ANSWER,
                 peer=server.row.address,
             ) from error
         except CinderwayError as error:
             if error.step in (Step.QUEUE, Step.CONNECT):
-                sending.turn.give_back()
+                outgoing.turn.give_back()
             if error.step is Step.QUEUE:
-                # Nothing was written, for a reason that says nothing of the server.
-                self.notes.held_back(sending, error)
+                # Nothing was written, for a reason that is not the server's fault.
+                self.notes.record_held_back(outgoing, error)
                 raise
             is_unreachable = error.step is Step.CONNECT
             kind = Bad.UNREACHABLE if is_unreachable else Bad.CUT
@@ -217,26 +223,26 @@
                 permit.note_broken_run(server.row.name, run_ms)
             raise
 
-    def _take_head(self, sending: Sending, answer: BackendAnswer) -> None:
-        """Note what an answer's head says; raise if the request was not run."""
-        now_ms, server = monotonic_ms(), sending.server
-        self.notes.head(sending, answer, now_ms)
+    def _apply_head(self, outgoing: OutgoingAttempt, answer: BackendAnswer) -> None:
+        """Apply a response's headers; raise if the server did not run the request."""
+        now_ms, server = monotonic_ms(), outgoing.server
+        self.notes.record_head(outgoing, answer, now_ms)
         if answer.is_misdirected:
-            # The address belongs to another server; this one is gone.
+            # Another server now has this address, so the expected server is gone.
             server.is_listed_leaving = True
-            raise _refused(
+            raise _build_not_run_error(
                 server,
                 ErrorCode.BACKEND_MISDIRECTED,
-                "another server has the address now",
+                "the address now belongs to another server",
             )
         if answer.is_shed:
             self.sheds += 1
-            server.pause_until_ms = now_ms + self._shed_pause_ms(sending.service)
-            self.notes.shed(sending, answer, now_ms)
-            raise _refused(
+            server.pause_until_ms = now_ms + self._shed_pause_ms(outgoing.service)
+            self.notes.record_shed(outgoing, answer, now_ms)
+            raise _build_not_run_error(
                 server, ErrorCode.BACKEND_SHED, "the backend server shed the request"
             )
-        self.evidence.first_byte(sending.attempt, answer.status, now_ms)
+        self.evidence.first_byte(outgoing.attempt, answer.status, now_ms)
 
     def _shed_pause_ms(self, service: ServiceState) -> int:
         share = SHED_PAUSE_SHARE + self.board.rng.random()
@@ -244,18 +250,22 @@
         return min(max(pause_ms, SHED_PAUSE_MINIMUM_MS), SHED_PAUSE_MAXIMUM_MS)
 
 
-def _objection(sending: Sending, permit: Permit) -> CinderwayError | None:
-    """Return why a request may no longer be written to the server it was to go to.
+def _check_before_write(
+    outgoing: OutgoingAttempt, permit: Permit
+) -> CinderwayError | None:
+    """Return the error if a request may no longer be written to its server, else None.
 
-    A connection may take half a second to come up; what is known by then counts.
+    Opening a connection may take half a second, so this checks the state after that.
     """
     now_ms = monotonic_ms()
-    hold = hold_of(sending.service, sending.server, now_ms)
+    error = check_server(outgoing.service, outgoing.server, now_ms)
     refusal = permit.refusal()
-    # Asked last: it uses a turn up where one is needed.
-    return hold or refusal or turn_refusal(sending.server, sending.turn, now_ms)
+    # Checked last, because it consumes a token if one is needed.
+    return error or refusal or check_rate_limit(outgoing.server, outgoing.turn, now_ms)
 
 
-def _refused(server: ServerState, code: ErrorCode, detail: str) -> CinderwayError:
-    """Return the error for an answer by which a server did not run the request."""
+def _build_not_run_error(
+    server: ServerState, code: ErrorCode, detail: str
+) -> CinderwayError:
+    """Build the error for a response that says that the request was not run."""
     return CinderwayError(code, detail, step=Step.AWAIT_ANSWER, peer=server.row.address)
--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -1,7 +1,7 @@
-"""Whether a server may get one more request now, by its own word or the list's. Pure.
+"""Checks whether a server may be sent a request now, by pushback or catalog. Pure.
 
-One question for every way to a server: first and second tries, hedges, requests that
-waited for a slot or for a connection, probes.
+The same checks apply to every request: first attempts, retries, hedges, requests that
+waited for a slot or a connection, and probes.
 """
 
 from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
@@ -10,88 +10,100 @@
 
 
 class HeldBackError(CinderwayError):
-    """A request that was not written to the server chosen for it; another may do.
+    """A request was not written to the chosen server; another server may accept it.
 
-    Its step is QUEUE: the server got nothing, and did nothing wrong.
+    Its step is QUEUE: nothing was sent to the server, and it is not at fault.
     """
 
 
-def hold_of(
+def check_server(
     service: ServiceState, server: ServerState, now_ms: int
 ) -> HeldBackError | None:
-    """Return why a request may not be written to a server now; None if it may."""
+    """Return the error if a request must not be written to a server now, else None."""
     if server.pushback.is_backing_off(now_ms):
         left_ms = server.pushback.backoff_until_ms - now_ms
-        return _held_back(
-            server, ErrorCode.BACKEND_RESTS, f"it asked for {left_ms} ms more of rest"
+        return _build_error(
+            server,
+            ErrorCode.BACKEND_RESTS,
+            f"its requested backoff has {left_ms} ms left",
         )
     is_listed = service.servers.get(server.row.name) is server
     if not is_listed or not server.takes_work(now_ms):
-        return _held_back(server, ErrorCode.BACKEND_LEAVES, "it takes no new work")
+        return _build_error(
+            server, ErrorCode.BACKEND_LEAVES, "it accepts no new requests"
+        )
     return None
 
 
 def can_accept(server: ServerState, now_ms: int) -> bool:
-    """Whether new requests may go to a listed server, ejection left aside."""
+    """Whether a listed server accepts new requests, regardless of ejection."""
     return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)
 
 
-def turn_refusal(server: ServerState, turn: Turn, now_ms: int) -> HeldBackError | None:
-    """Return why a request is not written to a server that names a rate.
+def check_rate_limit(
+    server: ServerState, turn: Turn, now_ms: int
+) -> HeldBackError | None:
+    """Return the error if a server's rate limit does not allow a request, else None.
 
-    None if it may be: a turn is used then, unless the request has one already.
+    If the request is allowed, it acquires a token unless it already has one.
     """
     if turn.take(now_ms):
         return None
     turns = server.pushback.turns
-    return _held_back(
+    return _build_error(
         server,
         ErrorCode.BACKEND_LIMITED,
-        f"it takes {turns.rate_per_s:g} requests/s from all entries, "
-        f"{turns.share_per_s:g} from this one",
+        f"its rate limit is {turns.rate_per_s:g} requests/s for all entries, "
+        f"{turns.share_per_s:g} of them for this one",
     )
 
 
-def pushback_refusal(
+def check_pushback(
     service: ServiceState, now_ms: int, give_up_at_ms: float, waiting: int
 ) -> RefusedForNowError | None:
-    """Return the refusal of a request that no server takes by `give_up_at_ms`.
+    """Return the rejection if no server can accept a request by `give_up_at_ms`.
 
-    It is told at once, with when to come back: every server rests, or has by then fewer
-    turns for this entry than there are requests `waiting`, this one included. None
-    where a server takes work as it comes, or none takes work at all.
+    Such a request is rejected at once, with a retry-after time. This is the case if
+    until then the servers accept fewer requests from this entry, because of backoff or
+    rate limits, than are `waiting`, this one included. Returns None otherwise, and also
+    if no server takes work at all.
     """
-    working = [
+    available = [
         server
         for server in service.servers.values()
         if server.takes_work(now_ms) and not server.is_ejected
     ]
     until_ms = max(now_ms, give_up_at_ms)
-    room = sum(s.pushback.compute_capacity_until(until_ms, now_ms) for s in working)
-    if not working or room >= max(waiting, 1):
+    capacity = sum(
+        s.pushback.compute_capacity_until(until_ms, now_ms) for s in available
+    )
+    if not available or capacity >= max(waiting, 1):
         return None
-    retry_after_ms = min(server.pushback.retry_after_ms(now_ms) for server in working)
-    limited = sum(server.pushback.is_limited(now_ms) for server in working)
+    retry_after_ms = min(server.pushback.retry_after_ms(now_ms) for server in available)
+    limited_count = sum(server.pushback.is_limited(now_ms) for server in available)
     return RefusedForNowError(
-        ErrorCode.BACKEND_LIMITED if limited else ErrorCode.BACKEND_RESTS,
-        f"all {len(working)} backend servers of {service.row.name} asked for rest or "
-        f"name a rate ({limited} of them), and {waiting} requests wait here; the next "
-        f"may go in {retry_after_ms} ms",
+        ErrorCode.BACKEND_LIMITED if limited_count else ErrorCode.BACKEND_RESTS,
+        f"all {len(available)} backend servers of {service.row.name} requested backoff "
+        f"or have a rate limit ({limited_count} of them), and {waiting} requests are "
+        f"waiting here; the next may be sent in {retry_after_ms} ms",
         retry_after_ms,
         step=Step.QUEUE,
     )
 
 
-def next_open_at_ms(service: ServiceState, now_ms: int) -> float | None:
-    """Return when the next pause or rest ends or turn comes; None if there is none."""
-    ends_ms = [
+def compute_next_accept_at_ms(service: ServiceState, now_ms: int) -> float | None:
+    """Return when a server may next accept a request; None if there is no such time.
+
+    That is when its pause or backoff ends and a token is available.
+    """
+    accept_times_ms = [
         at_ms
         for server in service.servers.values()
         for at_ms in (server.pause_until_ms, server.pushback.accepts_at_ms(now_ms))
         if at_ms > now_ms
     ]
-    return min(ends_ms, default=None)
+    return min(accept_times_ms, default=None)
 
 
-def _held_back(server: ServerState, code: ErrorCode, detail: str) -> HeldBackError:
+def _build_error(server: ServerState, code: ErrorCode, detail: str) -> HeldBackError:
     return HeldBackError(code, detail, step=Step.QUEUE, peer=server.row.address)
--- a/src/cinderway/entry/servers/_load_report.py
+++ b/src/cinderway/entry/servers/_load_report.py
@@ -1,12 +1,12 @@
-"""What a backend server says of its load, in a header of each answer."""
+"""Parses the load that a backend server reports in a header of each response."""
 
 import re
 
 
 def parse_load(text: bytes | None) -> float | None:
-    """Return the share of slots in use, over 1 with a queue; None if not told.
+    """Return the share of slots in use, above 1 with a queue; None if invalid.
 
-    Read are "running/slots" and "running,waiting,slots".
+    Accepts "running/slots" and "running,waiting,slots".
     """
     numbers = re.split(rb"[,/]", text or b"")
     if len(numbers) not in (2, 3) or not all(part.isdigit() for part in numbers):
--- a/src/cinderway/entry/servers/_messages.py
+++ b/src/cinderway/entry/servers/_messages.py
@@ -1,4 +1,4 @@
-"""What is sent to a backend server and what comes back, and the headers for both."""
+"""Requests to backend servers, their responses, and the headers of both."""
 
 import re
 from collections.abc import AsyncIterator
@@ -11,7 +11,7 @@
 from cinderway._ids import Address, AttemptId
 from cinderway.pushback import ServerWords, words_of
 
-# How long an idle connection may rest where its server does not say.
+# How long a connection may be idle if its server announces no keep-alive timeout.
 IDLE_LIMIT_S = 30.0
 DEADLINE_HEADER = b"cinderway-deadline-ms"
 ATTEMPT_HEADER = b"cinderway-attempt"
@@ -24,7 +24,7 @@
 OK = 200
 MULTIPLE_CHOICES = 300
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
-# A connection is left alone this long before its server may close it.
+# A connection is no longer used this long before its server may close it.
 IDLE_MARGIN_S = 1.0
 
 Headers = list[tuple[bytes, bytes]]
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """The headers that entries and backend servers speak by, in lower case.
+    """Names of the headers exchanged with backend servers, in lower case.
 
-    `expected`, `not_run`, `seal` and `account` are empty where servers know no such
-    header; `account` names the client account that a request belongs to.
-    `is_echoed` says that every answer carries the attempt's name back, and
-    `passes_own` that headers of our own prefix go on to the other side.
+    `expected`, `not_run`, `seal` and `account` are empty if servers do not support
+    these headers; `account` names the client account that a request belongs to.
+    `is_echoed` means that every response repeats the attempt id, and `passes_own` that
+    headers with our own prefix are forwarded.
     """
 
     attempt: bytes = ATTEMPT_HEADER
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class BackendRequest:
-    """What is sent to a backend server; nothing in it changes between attempts."""
+    """A request to a backend server, without the headers that differ by attempt."""
 
     method: bytes
     target: bytes
@@ -66,25 +66,25 @@
     body: bytes
 
 
-class AnsweredConnection(Protocol):
-    """The connection that an answer comes over."""
+class ResponseConnection(Protocol):
+    """The connection that a response is received on."""
 
     address: Address
     is_reusable: bool
     idle_limit_ms: int
 
     async def give_back(self, response: httpcore.Response | None) -> None:
-        """Keep it for the next request, or close it."""
+        """Return it to the pool for reuse, or close it."""
 
 
 @dataclass
 class BackendAnswer:
-    """Status and headers of an answer whose body is still to be read."""
+    """Status and headers of a response whose body has not been read yet."""
 
     status: int
     headers: Headers
     _response: httpcore.Response
-    _connection: AnsweredConnection
+    _connection: ResponseConnection
     names: HeaderNames = OWN_NAMES
 
     def header(self, name: bytes) -> bytes | None:
@@ -94,8 +94,8 @@
                 return value
         return None
 
-    def words(self, wall_clock_ms: int) -> ServerWords:
-        """Return what the answer says of the server itself."""
+    def parse_pushback(self, wall_clock_ms: int) -> ServerWords:
+        """Parse the pushback in the response."""
         return words_of(
             self.status,
             self.headers,
@@ -107,38 +107,38 @@
 
     @property
     def is_shed(self) -> bool:
-        """The server's own word that it did not run the request."""
+        """Whether the server states that it did not run the request."""
         if self.names.not_run and self.header(self.names.not_run) is not None:
             return True
         return self.header(OUTCOME_HEADER) == NOT_RUN or self.is_misdirected
 
     @property
     def is_misdirected(self) -> bool:
-        """Whether another server than the expected one has the address now."""
+        """Whether the address now belongs to a server other than the expected one."""
         return bool(self.names.expected) and self.status == MISDIRECTED
 
-    def foreign_reason(self, attempt_id: AttemptId) -> str:
-        """Why this cannot be the server's own answer to the attempt; "" if it can."""
+    def describe_mismatch(self, attempt_id: AttemptId) -> str:
+        """Return why this cannot be the response to the attempt; "" if it can."""
         names = self.names
         if names.is_echoed and self.header(names.attempt) != attempt_id.encode():
-            return "the answer belongs to another request"
+            return "the response belongs to another request"
         if not names.seal or not OK <= self.status < MULTIPLE_CHOICES:
             return ""
         if self.header(names.seal) is None:
-            return "a successful answer carries no seal of the server"
+            return "a successful response lacks the server's seal header"
         if self.header(b"content-encoding") is not None:
-            return "the body is encoded, which nobody asked for"
+            return "the body has a content encoding that was not requested"
         return ""
 
-    def idle_limit_s(self) -> float:
-        """How long the connection may rest before the server may close it."""
+    def compute_idle_limit_s(self) -> float:
+        """Return how long the connection may be idle until the server may close it."""
         found = KEEP_ALIVE_TIMEOUT.search(self.header(b"keep-alive") or b"")
         if found is None:
             return IDLE_LIMIT_S
         return max(min(int(found[1]) - IDLE_MARGIN_S, IDLE_LIMIT_S), 0.0)
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises CinderwayError if it is cut short."""
+        """Yield the body; raise CinderwayError if it is cut short."""
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
@@ -150,8 +150,8 @@
                 peer=self._connection.address,
             ) from error
         self._connection.is_reusable = True
-        self._connection.idle_limit_ms = round(self.idle_limit_s() * 1000)
+        self._connection.idle_limit_ms = round(self.compute_idle_limit_s() * 1000)
 
     async def aclose(self) -> None:
-        """Give the connection back if the answer was read whole, else close it."""
+        """Give the connection back if the body was read whole, else close it."""
         await self._connection.give_back(self._response)
--- a/src/cinderway/entry/servers/_permit.py
+++ b/src/cinderway/entry/servers/_permit.py
@@ -1,33 +1,37 @@
-"""Leave to send one request to backend servers."""
+"""Permission to send one request to backend servers."""
 
 from cinderway._errors import CinderwayError
 from cinderway._ids import ServerName
 
 
 class Permit:
-    """Leave to send a request, told what becomes of its runs; limited by nothing."""
+    """Permission to send a request; is informed of the results of its runs.
+
+    This base class permits every request.
+    """
 
     @property
     def holds(self) -> bool:
-        """Whether the request may still be sent at all."""
+        """Whether the request may still be sent."""
         return self.refusal() is None
 
     def refusal(self) -> CinderwayError | None:
-        """Return why the request may not be sent; None while it may.
+        """Return the error if the request may no longer be sent, else None.
 
-        The error's step is QUEUE: what waits for a slot has reached no server.
+        The error's step is QUEUE, because a request that waits for a slot has not
+        reached any server.
         """
         return None
 
     async def renew(self) -> bool:
-        """Say whether one that may have run can be sent once more, and pay for it."""
+        """Pay for resending a request that may have run; return False if refused."""
         return True
 
     def note_broken_run(self, server: ServerName, run_ms: int) -> None:
-        """Take note that a server's connection broke while the request was there."""
+        """Record that a connection broke while the server had the request."""
 
     def note_good_run(self) -> None:
-        """Take note that a server answered the request well."""
+        """Record that a server answered the request successfully."""
 
 
 UNLIMITED = Permit()
--- a/src/cinderway/entry/servers/_probe.py
+++ b/src/cinderway/entry/servers/_probe.py
@@ -1,4 +1,4 @@
-"""Try suspects out with real, repeatable work that no caller waits for."""
+"""Probes suspect servers with real, repeatable requests that no caller waits for."""
 
 import logging
 from dataclasses import dataclass
@@ -17,16 +17,16 @@
 
 logger = logging.getLogger(__name__)
 
-PROBE_PAUSE_S = 0.05
-# A probe is given up after this many times what would be slow.
-PROBE_PATIENCE = 2.0
-PROBES_IN_FLIGHT = 4
-LIVE_PAUSE_MS = 1_000
+PROBE_INTERVAL_S = 0.05
+# A probe times out after this multiple of the latency that counts as late.
+PROBE_TIMEOUT_FACTOR = 2.0
+MAXIMUM_PROBES_IN_FLIGHT = 4
+LIVE_REFRESH_INTERVAL_MS = 1_000
 
 
 @dataclass
 class Prober:
-    """Sends this entry's share of the probes that assessors ask for."""
+    """Sends this entry's share of the probes that assessors request."""
 
     board: Blackboard
     dispatcher: Dispatcher
@@ -35,13 +35,13 @@
     in_flight: int = 0
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Send probes until cancelled."""
         live: list[EntryName] = []
         live_read_at_ms = 0
         while True:
-            await anyio.sleep(PROBE_PAUSE_S)
+            await anyio.sleep(PROBE_INTERVAL_S)
             now_ms = monotonic_ms()
-            if now_ms - live_read_at_ms >= LIVE_PAUSE_MS:
+            if now_ms - live_read_at_ms >= LIVE_REFRESH_INTERVAL_MS:
                 live_read_at_ms = now_ms
                 live = [report.name for report in self.board.fleet.live(now_ms)]
             for service in list(self.board.services.values()):
@@ -60,11 +60,12 @@
         live: list[EntryName],
         now_ms: int,
     ) -> bool:
-        if self.in_flight >= PROBES_IN_FLIGHT or not can_accept(server, now_ms):
+        if self.in_flight >= MAXIMUM_PROBES_IN_FLIGHT or not can_accept(server, now_ms):
             return False
         if server.probes_per_s:
-            # Many entries together, each at random: their word counts separately.
-            chance = server.probes_per_s / max(len(live), 1) * PROBE_PAUSE_S
+            # All entries send a share of the probes, each at random times, since their
+            # observations are counted separately.
+            chance = server.probes_per_s / max(len(live), 1) * PROBE_INTERVAL_S
             return self.board.rng.random() < chance
         return self._is_background_due(service, server, live, now_ms)
 
@@ -75,16 +76,19 @@
         live: list[EntryName],
         now_ms: int,
     ) -> bool:
-        """At regular intervals by one entry, so that no gap is long by chance."""
+        """Whether a background probe is due from this entry.
+
+        One entry sends them at regular intervals, so that no gap is long by chance.
+        """
         if now_ms < server.next_probe_at_ms or service.background_probes_per_s <= 0:
             return False
-        pause_ms = round(1000 / service.background_probes_per_s)
+        interval_ms = round(1000 / service.background_probes_per_s)
         is_first = server.next_probe_at_ms == 0
         phase = self.board.rng.random() if is_first else 1.0
-        server.next_probe_at_ms = now_ms + round(pause_ms * phase)
-        return not is_first and self._is_prober_of(server, live)
+        server.next_probe_at_ms = now_ms + round(interval_ms * phase)
+        return not is_first and self._is_assigned_prober(server, live)
 
-    def _is_prober_of(self, server: ServerState, live: list[EntryName]) -> bool:
+    def _is_assigned_prober(self, server: ServerState, live: list[EntryName]) -> bool:
         own_rank = rank_of(server.row.name, self.board.name)
         return all(rank_of(server.row.name, name) <= own_rank for name in live)
 
@@ -94,10 +98,10 @@
             b"GET", service.row.probe_path.encode(), [(b"host", b"probe")], b""
         )
         late_after_ms = evidence.late_after_ms(service.row.name)
-        deadline_ms = monotonic_ms() + round(late_after_ms * PROBE_PATIENCE)
+        deadline_ms = monotonic_ms() + round(late_after_ms * PROBE_TIMEOUT_FACTOR)
         try:
             await self.dispatcher.probe(service, server, request, deadline_ms)
         except CinderwayError as error:
-            logger.debug("a probe failed: %s", error)
+            logger.debug("probe failed: %s", error)
         finally:
             self.in_flight -= 1
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -1,8 +1,8 @@
-"""Wait for a backend server's free slot, and choose among those that have one.
+"""Waits for a free slot at a backend server and chooses among servers that have one.
 
-A request is refused as soon as it is known that no slot will be of use to it: the
-servers' queues alone would make its answer late, its time is over, or it may no longer
-be sent.
+A request is rejected as soon as it is known that no slot will be of use to it: because
+the servers' queues alone would make its response late, because its deadline is too
+near, or because it may no longer be sent.
 """
 
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._backends import BackendConnections
 from cinderway.entry.servers._candidates import (
-    all_candidates,
-    drawn_candidates,
-    free_servers,
+    build_candidates,
+    find_free_servers,
+    sample_candidates,
 )
 from cinderway.entry.servers._holds import (
     can_accept,
-    next_open_at_ms,
-    pushback_refusal,
+    check_pushback,
+    compute_next_accept_at_ms,
 )
 from cinderway.entry.servers._permit import Permit
 from cinderway.judgement import EvidenceLog
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True)
 class WantedSlot:
-    """What one request needs of a slot.
+    """The requirements of one request for a slot.
 
-    Servers in `exclude` come last: they were tried already. Without `objective_at_ms`
-    it is no matter how long the answer takes.
+    Servers in `exclude` were already tried and are used only if no other is free.
+    Without `objective_at_ms`, the expected latency is not checked.
     """
 
     deadline_ms: int
@@ -47,7 +47,7 @@
 
 @dataclass
 class Slots:
-    """The slots of all backend servers, as one entry sees them."""
+    """The slots of all backend servers, as known to one entry."""
 
     board: Blackboard
     connections: BackendConnections
@@ -56,87 +56,92 @@
     async def take(self, service: ServiceState, wanted: WantedSlot) -> ServerState:
         """Return a server with a free slot, waiting for one if there is none.
 
-        The caller counts the request there at once. Raises CinderwayError.
+        The caller must count the request at that server at once. Raises CinderwayError.
         """
         admission = service.admission
         admission.waiting += 1
-        # Those that came before are served before: it is no matter who comes later.
+        # Only requests that arrived earlier count, as they are served first.
         waiting = admission.waiting
         try:
             while True:
-                _require_leave(wanted)
+                _require_permit(wanted)
                 now_ms = monotonic_ms()
                 found = self._free_server(service, wanted, now_ms)
                 if found is not None:
                     return service.servers[found.name]
                 give_up_at_ms = wanted.deadline_ms - admission.service_time_ms
                 if now_ms >= give_up_at_ms:
-                    raise _no_slot(service)
-                until_ms = self._of_use_until_ms(service, wanted, now_ms, give_up_at_ms)
-                refusal = pushback_refusal(service, now_ms, until_ms, waiting)
+                    raise _build_no_slot_error(service)
+                until_ms = self._compute_useful_until_ms(
+                    service, wanted, now_ms, give_up_at_ms
+                )
+                refusal = check_pushback(service, now_ms, until_ms, waiting)
                 if refusal is not None:
                     raise refusal
                 waiting = 1
-                wait_ms = _next_change_ms(service, now_ms, give_up_at_ms)
+                wait_ms = _compute_wait_ms(service, now_ms, give_up_at_ms)
                 with anyio.move_on_after(wait_ms / 1000):
                     await service.slot_freed.wait()
         finally:
             admission.waiting -= 1
 
-    def _of_use_until_ms(
+    def _compute_useful_until_ms(
         self,
         service: ServiceState,
         wanted: WantedSlot,
         now_ms: int,
         give_up_at_ms: float,
     ) -> float:
-        """Return until when a server that opens again is of use to a request.
+        """Return until when a slot that becomes available is useful to a request.
 
-        As long as its answer can be in time, that is what counts: a turn that makes
-        one answer late is taken from another request whose answer would not be.
+        While the response can still meet the objective, that is the latest time at
+        which it would: a rate limit token spent on a late response is taken from
+        another request that would be answered in time. After that it is the deadline.
         """
         if wanted.objective_at_ms is None:
             return give_up_at_ms
         usual_ms = self.evidence.pace(service.row.name).usual_ms
-        in_time_until_ms = wanted.objective_at_ms - usual_ms
-        if now_ms >= in_time_until_ms:
+        timely_until_ms = wanted.objective_at_ms - usual_ms
+        if now_ms >= timely_until_ms:
             return give_up_at_ms
-        return min(in_time_until_ms, give_up_at_ms)
+        return min(timely_until_ms, give_up_at_ms)
 
     def _free_server(
         self, service: ServiceState, wanted: WantedSlot, now_ms: int
     ) -> Candidate | None:
         """Return the server to use now; None if none is free.
 
-        Raises CinderwayError if each of the free ones would answer too late.
+        Raises CinderwayError if every free server would respond too late.
         """
-        subset = self._subset(usable_servers(service))
-        free = free_servers(subset, wanted.exclude, now_ms)
+        subset = self._choose_subset(usable_servers(service))
+        free = find_free_servers(subset, wanted.exclude, now_ms)
         if not free and wanted.exclude:
-            # Every other server was tried already: a second try beats none.
-            free = free_servers(subset, (), now_ms)
+            # Every other server was already tried: a repeated one is better than none.
+            free = find_free_servers(subset, (), now_ms)
         if not free:
             return None
         own_hall, rng = self.board.data_hall, self.board.rng
-        candidates = drawn_candidates(free, own_hall, rng, now_ms)
-        # A sound server with a long queue comes before a suspect one without work, and
-        # what is drawn may miss the few that are idle. Only where no server at all
-        # would answer in time is a request refused.
-        timely = self._timely(service, candidates, wanted, now_ms) or self._timely(
-            service, all_candidates(free, now_ms), wanted, now_ms
+        candidates = sample_candidates(free, own_hall, rng, now_ms)
+        # A healthy server with a long queue is chosen before an idle suspect one, and
+        # the sample may miss the few idle servers. So a request is rejected only if no
+        # free server at all would respond in time.
+        timely = self._filter_timely(
+            service, candidates, wanted, now_ms
+        ) or self._filter_timely(
+            service, build_candidates(free, now_ms), wanted, now_ms
         )
         if not timely:
-            raise self._queue_full(service, free, wanted, now_ms)
+            raise self._build_queue_full_error(service, free, wanted, now_ms)
         return choose(timely, own_hall, rng, penalties=wanted.penalties)
 
-    def _timely(
+    def _filter_timely(
         self,
         service: ServiceState,
         candidates: list[Candidate],
         wanted: WantedSlot,
         now_ms: int,
     ) -> list[Candidate]:
-        """Return the candidates whose queues leave time for an answer."""
+        """Return the candidates whose queues are short enough for a timely response."""
         objective_at_ms = wanted.objective_at_ms
         if objective_at_ms is None:
             return candidates
@@ -153,29 +158,32 @@
             )
         ]
 
-    def _queue_full(
+    def _build_queue_full_error(
         self,
         service: ServiceState,
         free: list[ServerState],
         wanted: WantedSlot,
         now_ms: int,
     ) -> CinderwayError:
-        """Return the refusal where even the emptiest server's queue is too long."""
+        """Build the rejection for the case that even the shortest queue is too long."""
         usual_ms = self.evidence.pace(service.row.name).usual_ms
-        load = min(candidate.next_load for candidate in all_candidates(free, now_ms))
+        load = min(candidate.next_load for candidate in build_candidates(free, now_ms))
         return CinderwayError(
             ErrorCode.QUEUE_FULL,
-            f"servers of {service.row.name} have {load:.1f} times the work that their "
-            f"slots take, or more: {expected_answer_ms(load, usual_ms):.0f} ms until "
-            f"an answer, {wanted.objective_at_ms - now_ms} ms to the objective",
+            f"servers of {service.row.name} are overloaded: the lowest load is "
+            f"{load:.1f} times their slots, the expected latency "
+            f"{expected_answer_ms(load, usual_ms):.0f} ms, "
+            f"{wanted.objective_at_ms - now_ms} ms left until the objective",
             step=Step.QUEUE,
         )
 
-    def _subset(self, usable: list[ServerState]) -> list[tuple[ServerState, int]]:
-        """Return the servers to choose from, each with how many requests it may get.
+    def _choose_subset(
+        self, usable: list[ServerState]
+    ) -> list[tuple[ServerState, int]]:
+        """Return the servers to choose from, each with its concurrent request limit.
 
-        As many servers as keep the fleet below their connection limits; all of them
-        unless the fleet is large.
+        The subset is small enough that the fleet stays within the servers' connection
+        limits. It contains all servers unless the fleet is large.
         """
         if not usable:
             return []
@@ -185,13 +193,13 @@
         chosen = usable
         if plan.subset_size < len(usable):
             names = {server.row.name for server in usable}
-            kept = own_subset(self.board.name, names, plan.subset_size)
-            chosen = [server for server in usable if server.row.name in kept]
+            subset_names = own_subset(self.board.name, names, plan.subset_size)
+            chosen = [server for server in usable if server.row.name in subset_names]
         return [(server, min(server.row.slots, plan.per_entry)) for server in chosen]
 
 
 def usable_servers(service: ServiceState) -> list[ServerState]:
-    """Return the servers that may get new work."""
+    """Return the servers that may be sent new requests."""
     now_ms = monotonic_ms()
     return [
         server
@@ -200,28 +208,30 @@
     ]
 
 
-def _require_leave(wanted: WantedSlot) -> None:
+def _require_permit(wanted: WantedSlot) -> None:
     refusal = wanted.permit.refusal()
     if refusal is not None:
         raise refusal
 
 
-def _next_change_ms(service: ServiceState, now_ms: int, give_up_at_ms: float) -> float:
-    """Return the time until a pause or rest ends, or the request is given up."""
-    open_at_ms = next_open_at_ms(service, now_ms)
-    until_ms = give_up_at_ms if open_at_ms is None else min(give_up_at_ms, open_at_ms)
+def _compute_wait_ms(service: ServiceState, now_ms: int, give_up_at_ms: float) -> float:
+    """Return the time until a server may accept a request or this one times out."""
+    accept_at_ms = compute_next_accept_at_ms(service, now_ms)
+    until_ms = (
+        give_up_at_ms if accept_at_ms is None else min(give_up_at_ms, accept_at_ms)
+    )
     return max(until_ms - now_ms, 1)
 
 
-def _no_slot(service: ServiceState) -> CinderwayError:
+def _build_no_slot_error(service: ServiceState) -> CinderwayError:
     if not usable_servers(service):
         return CinderwayError(
             ErrorCode.NO_BACKEND_SERVER,
-            f"no backend server of {service.row.name} takes work",
+            f"no backend server of {service.row.name} accepts requests",
             step=Step.ROUTE,
         )
     return CinderwayError(
         ErrorCode.DEADLINE_PASSED,
-        f"no slot of {service.row.name} came free in time",
+        f"no slot of {service.row.name} became free in time",
         step=Step.QUEUE,
     )
--- a/src/cinderway/pushback/_turns.py
+++ b/src/cinderway/pushback/_turns.py
@@ -32,7 +32,7 @@
         return self._last_ms + self.token_interval_ms
 
     def compute_next_in_fleet_ms(self, now_ms: int) -> float:
-        """Return the time until the next token; without a share, the rate's interval."""
+        """Return the time to the next token; without a share, the rate's interval."""
         if not self.share_per_s:
             return MS_PER_S / self.rate_per_s
         return max(self.next_at_ms - now_ms, 0)
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -297,15 +297,15 @@
     Guard(
         "what a server asked for is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return refusal or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return refusal or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
         "what may no longer be sent is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return error or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
@@ -318,8 +318,8 @@
     Guard(
         "a server's limit is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or refusal",
+        " or check_rate_limit(outgoing.server, outgoing.turn, now_ms)\n",
+        "\n",
         LIMIT_TESTS,
     ),
     Guard(
@@ -360,7 +360,7 @@
     Guard(
         "idle servers that were not drawn are looked at before a request is refused",
         "entry/servers/_slots.py",
-        "service, all_candidates(free, now_ms), wanted, now_ms",
+        "service, build_candidates(free, now_ms), wanted, now_ms",
         "service, candidates, wanted, now_ms",
         "tests.entry.servers.test_queue_check",
     ),
