--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -92,9 +92,9 @@
 
 
 def compute_next_accept_at_ms(service: ServiceState, now_ms: int) -> float | None:
-    """Return when a server may next accept a request; None if there is no such time.
+    """Return when a server may next accept a request; None if no such time is known.
 
-    That is when its pause or backoff ends and a token is available.
+    It is the earliest time at which a pause or backoff ends or a token is available.
     """
     accept_times_ms = [
         at_ms
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -215,7 +215,7 @@
 
 
 def _compute_wait_ms(service: ServiceState, now_ms: int, give_up_at_ms: float) -> float:
-    """Return the time until a server may accept a request or this one times out."""
+    """Return the time until a server may accept a request or this one is given up."""
     accept_at_ms = compute_next_accept_at_ms(service, now_ms)
     until_ms = (
         give_up_at_ms if accept_at_ms is None else min(give_up_at_ms, accept_at_ms)
--- a/src/cinderway/pushback/_rate_shares.py
+++ b/src/cinderway/pushback/_rate_shares.py
@@ -15,8 +15,8 @@
 from cinderway._ids import EntryName, ServerName
 from cinderway.routing import rank_of
 
-# Servers tolerate in any window this multiple of their rate, and so many requests more.
-# Source: the users' commitment to backend servers.
+# In any window of this length, servers tolerate this multiple of their rate plus a
+# burst of so many requests. Source: the users' commitment to backend servers.
 TOLERANCE_WINDOW_S = 4.0
 TOLERANCE_FACTOR = 1.5
 TOLERATED_BURST = 5
