--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -112,7 +112,7 @@
         )
         # Acquired now, so that no other request gets the same token. Whether it was
         # granted is checked just before the request is written.
-        outgoing.turn.take(monotonic_ms())
+        outgoing.token.take(monotonic_ms())
         is_fresh = not is_repeatable
         try:
             try:
@@ -146,9 +146,9 @@
         attempt = self.evidence.begin(
             service.row.name, server.row.name, monotonic_ms(), is_probe=True
         )
-        turn = Turn(server.pushback)
+        token = Turn(server.pushback)
         outgoing = OutgoingAttempt(
-            service, server, attempt, self.new_attempt_id(), turn
+            service, server, attempt, self.new_attempt_id(), token
         )
         try:
             answer = await self._send(
@@ -210,7 +210,7 @@
             ) from error
         except CinderwayError as error:
             if error.step in (Step.QUEUE, Step.CONNECT):
-                outgoing.turn.give_back()
+                outgoing.token.give_back()
             if error.step is Step.QUEUE:
                 # Nothing was written, for a reason that is not the server's fault.
                 self.notes.record_held_back(outgoing, error)
@@ -261,7 +261,7 @@
     error = check_server(outgoing.service, outgoing.server, now_ms)
     refusal = permit.refusal()
     # Checked last, because it consumes a token if one is needed.
-    return error or refusal or check_rate_limit(outgoing.server, outgoing.turn, now_ms)
+    return error or refusal or check_rate_limit(outgoing.server, outgoing.token, now_ms)
 
 
 def _build_not_run_error(
--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -41,13 +41,13 @@
 
 
 def check_rate_limit(
-    server: ServerState, turn: Turn, now_ms: int
+    server: ServerState, token: Turn, now_ms: int
 ) -> HeldBackError | None:
     """Return the error if a server's rate limit does not allow a request, else None.
 
     If the request is allowed, it acquires a token unless it already has one.
     """
-    if turn.take(now_ms):
+    if token.take(now_ms):
         return None
     turns = server.pushback.turns
     return _build_error(
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -30,7 +30,7 @@
     server: ServerState
     attempt: Attempt
     attempt_id: AttemptId
-    turn: Turn
+    token: Turn
 
     def __str__(self) -> str:
         """Return the server's description for log lines."""
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -108,10 +108,10 @@
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
             world.board.hear_limits(update, monotonic_ms())
             await anyio.sleep(2)
-            bucket = world.get_pushback().turns
-            bucket.take(monotonic_ms())
-            bucket.give_back()
-            return bucket.take(monotonic_ms())
+            rate_bucket = world.get_pushback().turns
+            rate_bucket.take(monotonic_ms())
+            rate_bucket.give_back()
+            return rate_bucket.take(monotonic_ms())
 
         self.assertTrue(run_in_virtual_time(play))
 
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -318,7 +318,7 @@
     Guard(
         "a server's limit is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        " or check_rate_limit(outgoing.server, outgoing.turn, now_ms)\n",
+        " or check_rate_limit(outgoing.server, outgoing.token, now_ms)\n",
         "\n",
         LIMIT_TESTS,
     ),
