--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -58,7 +58,7 @@
         server.end_request()
         self._announce_load(server)
 
-    def head(
+    def record_head(
         self, outgoing: OutgoingAttempt, answer: BackendAnswer, now_ms: int
     ) -> None:
         """Apply the pushback and the load report in a response's headers."""
