--- a/tools/guards.py
+++ b/tools/guards.py
@@ -290,22 +290,22 @@
     Guard(
         "a server that asked for rest is not chosen",
         "entry/servers/_holds.py",
-        "    return server.takes_work(now_ms) and server.pushback.is_open(now_ms)\n",
+        "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
         "    return server.takes_work(now_ms)\n",
         PUSHBACK_TESTS,
     ),
     Guard(
         "what a server asked for is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return refusal or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return refusal or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
         "what may no longer be sent is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return error or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
@@ -318,15 +318,15 @@
     Guard(
         "a server's limit is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or refusal",
+        " or check_rate_limit(outgoing.server, outgoing.token, now_ms)\n",
+        "\n",
         LIMIT_TESTS,
     ),
     Guard(
         "a server is chosen only where a turn is due",
         "pushback/_book.py",
-        "        return now_ms >= self.opens_at_ms(now_ms)\n",
-        "        return now_ms >= self.rests_until_ms\n",
+        "        return now_ms >= self.accepts_at_ms(now_ms)\n",
+        "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
@@ -360,7 +360,7 @@
     Guard(
         "idle servers that were not drawn are looked at before a request is refused",
         "entry/servers/_slots.py",
-        "service, all_candidates(free, now_ms), wanted, now_ms",
+        "service, build_candidates(free, now_ms), wanted, now_ms",
         "service, candidates, wanted, now_ms",
         "tests.entry.servers.test_queue_check",
     ),
