--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -1,9 +1,9 @@
-"""The entry's whole state in one place; controllers read it and write their part.
+"""The shared in-memory state of an entry; each controller writes its own part.
 
-table, routes     written by the table controller
-services          each service's servers, queue and budget: rebuilt from the
-                  table, counted by the request handler
-ejected, leaving  written by the judgement and draining controllers
+table, routes     written by the controller that follows the table
+services          each service's servers, queue and retry budget: rebuilt from the
+                  table; the request handler updates the counters
+ejected, leaving  written by the controllers for ejection and draining
 """
 
 import random
@@ -28,64 +28,66 @@
 
 @dataclass
 class ServerState:
-    """What this entry knows of one backend server."""
+    """What this entry knows about one backend server."""
 
     row: ServerRow
     in_flight: int = 0
-    # What all entries of the fleet have under way there, as far as known.
+    # Requests that all entries of the fleet have in flight there, as far as known.
     fleet_in_flight: int = 0
-    # The last load known, by its own word or another entry's, and what was sent since.
+    # The last load that the server or another entry reported, plus the requests sent
+    # since then.
     known_load: float = 0.0
     load_known_at_ms: int = 0
     tells_load: bool = False
-    # What it asked for by its own word, heard here or by another entry.
+    # Pushback that the server itself asked for, in answers to this entry or to others.
     pushback: ServerPushback = field(default_factory=ServerPushback)
     is_listed_leaving: bool = False
     pause_until_ms: int = 0
-    # It has just failed a request, here or elsewhere in the hall.
+    # Set after it failed a request of this entry or of another one in the data hall.
     suspect_until_ms: int = 0
-    # By the server's own word it is slow until then.
+    # The server has announced that it is slow (warming up) until then.
     warm_until_ms: int = 0
-    # Slow start of a server that joined while this entry ran; 0 if there is none.
+    # Start of the slow start of a server that joined while this entry was running; 0 if
+    # it has none.
     joined_at_ms: int = 0
     is_ejected: bool = False
     is_held_by_floor: bool = False
 
     def load_at(self, now_ms: int) -> float:
-        """How full it probably is, as a share of its slots; 0 if that is unknown.
+        """Estimate the load, as a share of the server's slots; 0 if it is unknown.
 
-        A server that hangs tells nothing, and its last load fades; what entries still
-        have under way there does not.
+        A server that hangs reports nothing and its last reported load decays, whereas
+        the entries' requests in flight still count in full.
         """
         in_flight = self.fleet_in_flight / self.row.slots
         return max(self.told_load_at(now_ms), in_flight)
 
     def told_load_at(self, now_ms: int) -> float:
-        """What is left of the last load told, as a share of its slots."""
+        """Return the last reported load, decayed by age, as a share of the slots."""
         return faded_load(self.known_load, now_ms - self.load_known_at_ms)
 
     def begin_request(self) -> None:
-        """Count a request that goes out."""
+        """Count a request that is sent to the server."""
         self.in_flight += 1
         self.fleet_in_flight += 1
 
     def end_request(self) -> None:
-        """Count a request that is over, however it ended."""
+        """Count the end of a request, whatever its outcome."""
         self.in_flight -= 1
-        # The replica's last word may have been without it.
+        # The control replica's last count may not have included this request.
         self.fleet_in_flight = max(self.fleet_in_flight - 1, self.in_flight)
 
     def note_load(self, load: float, now_ms: int) -> None:
-        """Take over a load that was told by the server or by another entry."""
+        """Record a load that was reported by the server or by another entry."""
         self.known_load = load
         self.load_known_at_ms = now_ms
         self.tells_load = True
 
     def takes_work(self, now_ms: int) -> bool:
-        """Whether new requests may go there, ejection left aside.
+        """Whether the server accepts new requests, regardless of ejection.
 
-        Whichever says first that it leaves counts: its own signal, the platform's
-        list, or the operator's cell.
+        The first source to say that the server is leaving decides: its own signal, the
+        platform's list, or the operator's setting in the table.
         """
         return (
             self.row.takes_work
@@ -100,7 +102,7 @@
 
 @dataclass
 class ServiceState:
-    """What this entry knows of one service."""
+    """What this entry knows about one service."""
 
     row: ServiceRow
     budget: RetryBudget
@@ -110,14 +112,14 @@
     background_probes_per_s: float = 0.0
 
     def free_slot(self) -> None:
-        """Wake the requests that wait for a slot."""
+        """Wake the requests that are waiting for a slot."""
         self.slot_freed.set()
         self.slot_freed = anyio.Event()
 
 
 @dataclass
 class Blackboard:
-    """State of one entry."""
+    """The state of one entry."""
 
     name: EntryName
     data_hall: DataHall
@@ -126,21 +128,23 @@
     fleet: Fleet = field(default_factory=Fleet)
     routes: RouteTable = field(default_factory=lambda: RouteTable([]))
     services: dict[ServiceName, ServiceState] = field(default_factory=dict)
-    # Outlives the servers above, which are made anew whenever they are listed anew.
+    # Kept apart from the servers above, whose states are created again whenever they
+    # are listed again.
     pushback: PushbackBook = field(default_factory=PushbackBook)
     limits: LimitWatch = field(init=False)
     is_table_trusted: bool = False
     is_leaving: bool = False
     in_flight: int = 0
-    # Entries of the fleet, this one included, as far as known: what servers take of all
-    # callers together, such as connections, is divided by it.
+    # Number of entries in the fleet, including this one, as far as known. Limits that a
+    # server sets for all callers together, such as connections, are divided by it.
     entry_count: int = 1
-    # Told of each server whose load or requests in flight have changed, where entries
-    # share that.
+    # Called with each server whose load or requests in flight changed, if entries share
+    # that information.
     on_load: Callable[[ServerName], None] | None = None
-    # Told of each server that turned a request away, where entries share that.
+    # Called with each server that rejected a request as overloaded, if entries share
+    # that information.
     on_turned_away: Callable[[ServerName], None] | None = None
-    # Told of each server that answered this entry well.
+    # Called with each server that gave this entry a good answer.
     on_good_answer: Callable[[ServerName], None] | None = None
     table_changed: anyio.Event = field(default_factory=anyio.Event)
 
@@ -149,12 +153,12 @@
         self.limits = LimitWatch(self.pushback)
 
     def wake_waiting(self) -> None:
-        """Let all requests that wait for a slot look again."""
+        """Let all requests that are waiting for a slot check again."""
         for service in self.services.values():
             service.free_slot()
 
     def hear_limits(self, told: ServerLimits, now_ms: int) -> None:
-        """Take over what others heard of the rates that servers name."""
+        """Apply the servers' rate limits that other processes learned of."""
         listed = {
             name: server.pushback
             for service in self.services.values()
@@ -164,14 +168,15 @@
         self.wake_waiting()
 
     def use_group(self, group: EntryGroup, now_ms: int) -> None:
-        """Take over which entries divide servers' rates with this one."""
+        """Apply the group of entries that share the servers' rate limits."""
         self.limits.use_group(group, now_ms)
-        # Groups are of about one size: entries choose the nearest of many replicas.
+        # All groups are about the same size, since entries choose the nearest of many
+        # replicas.
         self.entry_count = max(len(group.entries) * len(group.groups), 1)
         self.wake_waiting()
 
     def refresh_from_table(self, now_ms: int) -> None:
-        """Bring the derived state in line with the table in force."""
+        """Rebuild the state that is derived from the current table."""
         rows = {row.name: row for row in self.table.services()}
         self.routes = RouteTable(list(rows.values()))
         self.refresh_services(rows, self.table.servers_of, now_ms)
@@ -182,7 +187,7 @@
         servers_of: Callable[[ServiceName], dict[ServerName, ServerRow]],
         now_ms: int,
     ) -> None:
-        """Bring services and servers in line with their rows; what is known stays."""
+        """Update services and servers from their rows, keeping what was learned."""
         for name in self.services.keys() - rows.keys():
             del self.services[name]
         for name, row in rows.items():
@@ -201,7 +206,8 @@
         state.budget.percent = row.retry_percent
         for gone in state.servers.keys() - servers.keys():
             del state.servers[gone]
-        # Servers that were there before this entry are not starting now.
+        # Servers that are listed when this entry learns of the service get no slow
+        # start: they were running before.
         joined_at_ms = now_ms if state.servers else 0
         for server in servers.values():
             known = state.servers.get(server.name)
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -1,7 +1,7 @@
-"""The blackboard of an entry that serves by the catalog, and the catalog's copy.
+"""The state of an entry that routes by the catalog, with its copy of the catalog.
 
-Services and servers on the board are rebuilt from the copy; verdicts of the control
-replica that is followed are written over them.
+Services and servers on the blackboard are rebuilt from the copy; verdicts of the
+control replica that the entry follows are then applied to them.
 """
 
 from dataclasses import dataclass, field
@@ -41,9 +41,9 @@
 from cinderway.table import ServerRow, ServerState as ListedState, ServiceRow
 from cinderway.wire import Message
 
-# Of a server's weight, where no verdict says otherwise.
+# Share of a server's weight that applies if no verdict sets another one.
 FULL_SHARE = 1.0
-# Retries that an entry without a control replica may save up.
+# Retries that an entry without a control replica can accumulate.
 LONE_RETRIES = 1.0
 
 
@@ -56,23 +56,25 @@
     lone_retry_percent: int
     mirror: CatalogMirror = field(default_factory=CatalogMirror)
     routes: RouteIndex | None = None
-    # None where the sheet has no accounts: requests then need no key.
+    # None if the sheet has no accounts: requests then need no key.
     accounts: AccountIndex | None = None
-    # When the replica that is followed last knew the newest catalog.
+    # When the followed replica last had the newest catalog.
     current_at_ms: int = 0
     activity: anyio.Event = field(default_factory=anyio.Event)
     bad_news: anyio.Event = field(default_factory=anyio.Event)
     loads_changed: anyio.Event = field(default_factory=anyio.Event)
     poison: PoisonWatch = field(default_factory=PoisonWatch)
-    # Where the hall's entries hear each other while control is away.
+    # Addresses at which the data hall's entries reach each other while control is
+    # unreachable.
     peers: list[Address] = field(default_factory=list)
-    # Servers that the last verdicts named: all others are plainly healthy.
+    # Servers with a line in the last verdicts; all others are healthy.
     _judged: set[ServerName] = field(default_factory=set)
     _new_suspects: dict[ServerName, int] = field(default_factory=dict)
-    # Servers that turned requests of this entry away, and until when to avoid each.
+    # Servers that rejected requests of this entry, and until when to avoid each; not
+    # reported yet.
     _turned_away: dict[ServerName, int] = field(default_factory=dict)
     turned_away: anyio.Event = field(default_factory=anyio.Event)
-    # Servers of which the hall is to be told, in the order in which they changed.
+    # Servers whose load is to be reported to the data hall, in order of the changes.
     _changed_loads: dict[ServerName, None] = field(default_factory=dict)
     _account_rows: list[AccountRow] | None = None
     _routed: anyio.Event = field(default_factory=anyio.Event)
@@ -88,26 +90,26 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers can be served."""
+        """Whether this entry can serve callers."""
         return self.routes is not None and not self.board.is_leaving
 
     async def wait_for_routes(self, until_ms: int) -> None:
-        """Return once there is a route sheet, or at `until_ms` without one."""
+        """Wait for a route sheet, at most until `until_ms`."""
         if self.routes is not None:
             return
         with anyio.move_on_after(max(until_ms - monotonic_ms(), 0) / 1000):
             await self._routed.wait()
 
     def age_ms(self, now_ms: int) -> int:
-        """How old the catalog may be."""
+        """Return the maximum age of this entry's copy of the catalog."""
         return now_ms - self.current_at_ms
 
     def note_activity(self) -> None:
-        """Wake what reports evidence."""
+        """Wake the task that reports evidence."""
         self.activity.set()
 
     def note_alarm(self, server: ServerName, kind: Bad) -> None:
-        """Avoid a server that failed a request of this entry's, or is late with one."""
+        """Suspect a server that failed a request of this entry or is late with one."""
         until_ms = self._suspicions.note_alarm(server, kind, monotonic_ms())
         if until_ms is not None:
             self._new_suspects[server] = until_ms
@@ -115,19 +117,19 @@
         self.bad_news.set()
 
     def note_late_answer(self, server: ServerName) -> None:
-        """Trust a server again that was late and does not hang."""
+        """End the suspicion of a server that was late but does not hang."""
         if self._suspicions.note_late_answer(server):
             self.clear(server)
         self.bad_news.set()
 
     def suspect(self, server: ServerName, until_ms: int) -> None:
-        """Use a server only where nothing better is free, until then."""
+        """Use a server only if no better one is free, until the given time."""
         state = self._state_of(server)
         if state is not None:
             state.suspect_until_ms = max(state.suspect_until_ms, until_ms)
 
     def clear(self, server: ServerName) -> None:
-        """End a suspicion before its time."""
+        """End the suspicion of a server before it expires."""
         state = self._state_of(server)
         if state is not None:
             state.suspect_until_ms = 0
@@ -143,23 +145,25 @@
         self.loads_changed.set()
 
     def take_loads(self, now_ms: int) -> ServerLoads:
-        """Return what this entry knows now of the servers that changed since then."""
+        """Return the current loads of the servers that changed since the last call."""
         changed, self._changed_loads = self._changed_loads, {}
-        # One that is not set yet may be waited for by another task: it must stay.
+        # An event that is not set may have waiters: it must not be replaced.
         if self.loads_changed.is_set():
             self.loads_changed = anyio.Event()
         states = filter(None, map(self._state_of, changed))
         return ServerLoads([_load_of(state, now_ms) for state in states])
 
     def _note_turned_away(self, server: ServerName) -> None:
-        """Avoid a server that turns requests away, and let the hall avoid it.
-
-        It has nothing to do and tells so: by its load alone it is everybody's first
-        choice, and requests are refused while others have room. No longer than this,
-        whatever rest it asked this entry for: what it told one is a hint to others, and
-        one that asks everybody for an hour stays in use.
-        Where the hall has just heard of it nothing is told: under overload the tellings
-        grow with the servers, not with the requests that they turn away.
+        """Suspect a server that rejects requests, and report it to the data hall.
+
+        Such a server is idle and reports a low load: by load alone every entry would
+        choose it first, and requests would be refused while other servers have free
+        slots. The suspicion lasts FADES_MS, whatever pause the server asked this
+        entry for: what it asked of one entry is only a hint to the others, and a
+        server that asks every entry for an hour stays in use.
+        Nothing is reported if the hall learned of the server a moment ago, so that
+        under overload the number of reports grows with the number of servers, not with
+        the number of requests that they reject.
         """
         state = self._state_of(server)
         until_ms = monotonic_ms() + FADES_MS
@@ -170,15 +174,19 @@
         self.turned_away.set()
 
     def take_turned_away(self, now_ms: int) -> SuspectServers:
-        """Return the servers that turned requests away since the last call."""
+        """Return the servers that rejected requests since the last call."""
         found, self._turned_away = self._turned_away, {}
-        # One that is not set yet may be waited for by another task: it must stay.
+        # An event that is not set may have waiters: it must not be replaced.
         if self.turned_away.is_set():
             self.turned_away = anyio.Event()
         return _suspects_of(found, now_ms)
 
     def follow_anew(self) -> None:
-        """Forget what others have in flight; tell the next replica of all here."""
+        """Prepare for another control replica.
+
+        Forgets the requests that other entries have in flight, and queues all servers
+        with requests of this entry in flight for the next report.
+        """
         for service in self.board.services.values():
             for name, server in service.servers.items():
                 server.fleet_in_flight = server.in_flight
@@ -186,12 +194,12 @@
                     self._note_load(name)
 
     def take_suspects(self, now_ms: int) -> SuspectServers:
-        """Return the servers that failed here since the last call, and still count."""
+        """Return the servers suspected here since the last call that still are."""
         found, self._new_suspects = self._new_suspects, {}
         return _suspects_of(found, now_ms)
 
     def hear(self, news: Message, now_ms: int) -> None:
-        """Take over what others of the hall know of servers."""
+        """Apply a message about servers from another process of the data hall."""
         match news:
             case SuspectServers(servers=servers, for_ms=for_ms):
                 for server, left_ms in zip(servers, for_ms, strict=True):
@@ -211,14 +219,14 @@
                 self.poison.hear_rulings(news)
 
     def hear_loads(self, message: ServerLoads, now_ms: int) -> None:
-        """Take over what other entries of the hall know."""
+        """Apply the loads that other entries of the data hall reported."""
         for told in message.servers:
             server = self._state_of(told.server)
             if server is not None and told.load != NO_LOAD:
                 server.note_load(told.load, now_ms)
 
     def hear_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
-        """Take over what the replica knows: also what the fleet has in flight."""
+        """Apply the replica's loads, including the fleet's requests in flight."""
         for told in message.servers:
             server = self._state_of(told.server)
             if server is None:
@@ -228,7 +236,7 @@
             server.fleet_in_flight = max(told.in_flight, server.in_flight)
 
     def install(self, update: CatalogUpdate, now_ms: int) -> bool:
-        """Put an update in force; False if it is not newer than what is."""
+        """Apply a catalog update; False if it is not newer than the current copy."""
         if not self.mirror.install(update):
             return False
         sheet = self.mirror.sheet
@@ -243,14 +251,14 @@
         return True
 
     def _install_accounts(self, rows: list[AccountRow] | None) -> None:
-        """Take over a sheet's accounts; most sheets change none of them."""
+        """Apply a sheet's accounts, if they changed; most new sheets keep them."""
         if rows == self._account_rows:
             return
         self._account_rows = rows
         self.accounts = None if rows is None else AccountIndex(rows)
 
     def apply(self, verdicts: VerdictBatch) -> None:
-        """Bring ejections and shares in line with a replica's verdicts."""
+        """Apply a replica's verdicts: paces, ejections and shares."""
         for pace in verdicts.paces:
             self.evidence.set_pace(
                 pace.service, Pace(pace.usual_ms, pace.slow_ms, pace.late_ms)
@@ -266,7 +274,7 @@
         self.board.wake_waiting()
 
     def _refresh(self, now_ms: int) -> None:
-        """Rebuild services and servers from the catalog's copy."""
+        """Rebuild services and servers from the copy of the catalog."""
         sheet = self.mirror.sheet
         rows = {
             entry.name: ServiceRow(
@@ -308,7 +316,7 @@
 
 
 def _suspects_of(until_ms: dict[ServerName, int], now_ms: int) -> SuspectServers:
-    """Return the servers that are still suspect, and for how long each."""
+    """Return the servers that are still suspected, and for how long each."""
     left_ms = {server: at_ms - now_ms for server, at_ms in until_ms.items()}
     current = {server: ms for server, ms in left_ms.items() if ms > 0}
     return SuspectServers(list(current), list(current.values()))
@@ -320,7 +328,7 @@
 
 
 def _objectives_of(sheet: RouteSheet) -> dict[ServiceName, int]:
-    """Return each service's objective: the longest of the routes that lead there."""
+    """Return each service's objective: the longest one of the routes to it."""
     objectives_ms: dict[ServiceName, int] = {}
     for route in sheet.routes:
         for part in route.parts:
@@ -331,13 +339,16 @@
 
 @dataclass(frozen=True)
 class _RegisteredRow(ServerRow):
-    """A row whose name stands for one start of a server, and may not be its own."""
+    """A row named after one start of a server, not by the server's own name.
+
+    `told_id` is the name that the server registered with.
+    """
 
     told_id: ServerName = ServerName("")
 
     @property
     def own_name(self) -> ServerName:
-        """The name by which the server knows itself."""
+        """The name that the server uses for itself."""
         return self.told_id
 
 
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -1,7 +1,7 @@
-"""The entry process that serves by the service catalog.
+"""The entry process that routes by the service catalog.
 
-It keeps serving by the catalog that it holds while no control replica is reached, and
-stops without cutting requests short that end before the stop limit.
+It continues with its copy of the catalog while no control replica is reachable, and
+stops without interrupting requests that end before the stop limit.
 """
 
 import logging
@@ -33,16 +33,16 @@
 
 logger = logging.getLogger(__name__)
 
-# Longer than callers rest a connection, so that the entry never closes one that a
-# request is just being sent on.
+# Longer than callers keep a connection idle, so that the entry never closes one on
+# which a request is being sent.
 KEEP_ALIVE_S = 30
-# Largest answer of a backend server that is held whole.
+# Largest answer of a backend server that is held in memory.
 ANSWER_LIMIT_BYTES = 64 * 1024 * 1024
 DRAIN_POLL_S = 0.02
 
 
 async def run_catalog_entry(settings: CatalogEntrySettings) -> None:
-    """Run an entry until it is told to stop; requests in flight finish first."""
+    """Run an entry until it is asked to stop; requests in flight finish first."""
     configure_logging(settings.log_format, settings.log_level)
     log_start(logger, f"entry {settings.name}", settings.callers_listen)
     names = header_names(settings)
@@ -109,11 +109,11 @@
 async def _drain(
     settings: CatalogEntrySettings, board: Blackboard, server: QuietServer
 ) -> None:
-    """Stop without cutting a request.
+    """Stop without interrupting a request.
 
-    Not ready at once, but still accepting while the balancer's list lags; answers
-    say that their connection closes. Then no more connections, and wait for the last
-    request.
+    The entry is reported as not ready at once, but accepts connections for `drain_ms`,
+    since the load balancer's list lags behind; answers announce that their connection
+    closes. Then it accepts no more connections and waits for the last request.
     """
     board.is_leaving = True
     logger.info("stopping: %d requests in flight", board.in_flight)
--- a/src/cinderway/entry/_daemon.py
+++ b/src/cinderway/entry/_daemon.py
@@ -1,4 +1,4 @@
-"""The entry process that serves by the service table."""
+"""The entry process that routes by the service table."""
 
 import logging
 import random
@@ -36,9 +36,10 @@
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is told to stop; requests in flight finish first."""
+    """Run an entry until it is asked to stop; requests in flight finish first."""
     configure_logging(settings.log_format, settings.log_level)
-    # The table's names of servers outlive their starts.
+    # In the table a server keeps its name after a restart, so that its leaving signal
+    # must expire sooner than by default.
     pushback = PushbackBook(leaving_valid_ms=DRAIN_VALID_MS)
     board = Blackboard(
         settings.name, settings.data_hall, random.Random(), pushback=pushback
@@ -105,10 +106,11 @@
     server: QuietServer,
     run_once: RunOnce,
 ) -> None:
-    """Stop without cutting a request.
+    """Stop without interrupting a request.
 
-    Not ready at once, but still accepting while the balancer's list lags; then no
-    more connections, and wait for the last request and the last recorded claim.
+    The entry is reported as not ready at once, but accepts connections for `drain_ms`,
+    since the load balancer's list lags behind. Then it accepts no more connections and
+    waits for the last request and for the last claim to be recorded.
     """
     board.is_leaving = True
     logger.info("stopping: %d requests in flight", board.in_flight)
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -1,7 +1,7 @@
-"""What an entry knows of the rates that servers name, and what it has to tell of them.
+"""The rate limits that backend servers announce, as one entry knows them.
 
-Part of the blackboard: requests note what answers said, and what others tell comes in
-here, too.
+Part of the blackboard: limits come from answers to this entry's requests and from other
+processes; those learned from answers are reported to the others.
 """
 
 import logging
@@ -24,7 +24,7 @@
 
 @dataclass
 class LimitWatch:
-    """The rates that servers name, as this entry knows them."""
+    """Tracks the servers' rate limits and which of them are still to be reported."""
 
     book: PushbackBook
     has_news: anyio.Event = field(default_factory=anyio.Event)
@@ -39,10 +39,10 @@
         *,
         ends_without: bool,
     ) -> None:
-        """Take over what an answer here says of its server's limit.
+        """Record what an answer to this entry says about its server's rate limit.
 
-        An answer that names none ends a limit if `ends_without` is set; one whose limit
-        cannot be read changes nothing.
+        An answer without a limit ends the current one if `ends_without` is set; an
+        answer with an unreadable limit changes nothing.
         """
         if words.rate_limit_per_s is not None:
             limit = RateLimit(words.rate_limit_per_s, now_ms)
@@ -55,15 +55,15 @@
     def hear(
         self, told: ServerLimits, kept_of: dict[ServerName, ServerPushback], now_ms: int
     ) -> None:
-        """Take over what others heard of servers."""
+        """Apply the limits that other processes learned of."""
         for line in told.lines:
             kept = kept_of.get(line.server) or self.book.of(line.server)
             self._take(line.server, kept, line.limit(now_ms), now_ms)
 
     def take_news(self, now_ms: int) -> ServerLimits:
-        """Return what is to be told since the last call."""
+        """Return the limits that were learned from answers since the last call."""
         changed, self._changed = self._changed, {}
-        # One that is not set yet may be waited for by another task: it must stay.
+        # An event that is not set may have waiters: it must not be replaced.
         if self.has_news.is_set():
             self.has_news = anyio.Event()
         limits = {server: self.book.limits.of(server) for server in changed}
@@ -71,16 +71,16 @@
         return ServerLimits.of(known, now_ms)
 
     def put_back(self, told: ServerLimits) -> None:
-        """Tell later what could not be told now."""
+        """Queue limits again whose report could not be sent."""
         self._changed.update((line.server, None) for line in told.lines)
         self.has_news.set()
 
     def limits(self, now_ms: int) -> ServerLimits:
-        """Return what a replica that is followed anew may not know."""
+        """Return all current limits, for a replica that may not know them."""
         return ServerLimits.of(self.book.limits.held(now_ms), now_ms)
 
     def use_group(self, group: EntryGroup, now_ms: int) -> None:
-        """Take over which entries divide servers' rates with this one."""
+        """Apply the group of entries that share the servers' rate limits."""
         if group != self.book.group:
             logger.info(
                 "servers' rates are divided among %d entries of group %s, one of %d",
@@ -102,11 +102,11 @@
     ) -> bool:
         is_news = self.book.learn_limit(server, kept, limit, now_ms)
         if is_news and kept.turns is None:
-            logger.info("backend server %s names no limit any more", server)
+            logger.info("backend server %s no longer has a rate limit", server)
         elif is_news:
             logger.info(
-                "backend server %s takes %g requests/s from all entries, heard %d ms "
-                "ago; this one sends it %g/s",
+                "backend server %s accepts %g requests/s from all entries, as of %d ms "
+                "ago; this entry sends %g/s",
                 server,
                 kept.turns.rate_per_s,
                 now_ms - limit.heard_at_ms,
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -1,7 +1,7 @@
-"""What an entry knows of requests that end servers, and what it has to tell of them.
+"""Poison requests, those that crash backend servers, as one entry knows them.
 
-Part of the blackboard: callers' requests note how their runs ended and ask whether they
-may be sent; what others tell comes in here, too.
+Part of the blackboard: request handling records here how runs ended and asks whether a
+request may be sent; what other processes report is applied here too.
 """
 
 import logging
@@ -25,47 +25,48 @@
 
 logger = logging.getLogger(__name__)
 
-# Good answers that are remembered: those of 13 s at the 79 requests/s that an entry is
-# to bear one day.
+# Requests whose last good answer is remembered: those of 13 s at 79 requests/s, the
+# rate that an entry is planned to handle in future.
 ANSWERED_LIMIT = 1_024
-# That wait to be told, and of one telling; the newest are kept.
+# Runs that wait to be reported, and items in one report; the newest are kept.
 TOLD_LIMIT = 256
 
 
 @dataclass
 class PoisonWatch:
-    """Requests under which servers ended, as this entry knows them."""
+    """Tracks requests during which servers ended, and what is still to be reported."""
 
     tally: PoisonTally = field(default_factory=PoisonTally)
-    # Told of each request that is refused from now on.
+    # Called whenever a request begins to be refused.
     on_refusal: Callable[[], None] | None = None
     has_news: anyio.Event = field(default_factory=anyio.Event)
     _ended: deque[EndedRun] = field(default_factory=lambda: deque(maxlen=TOLD_LIMIT))
     _good: dict[RequestDigest, None] = field(default_factory=dict)
-    # When each request was answered well here last, oldest first.
+    # When each request last got a good answer here, oldest first.
     _answered_at_ms: dict[RequestDigest, int] = field(default_factory=dict)
 
     def refusal_of(self, digest: RequestDigest) -> Ruling | None:
-        """Return why a request is not sent; None if it may be."""
+        """Return the ruling that forbids sending a request; None if there is none."""
         ruling = self.tally.ruling_of(digest, monotonic_ms())
         return None if ruling.standing.is_sent else ruling
 
     def may_be_repeated(self, digest: RequestDigest) -> bool:
-        """Whether this entry may send a request that may have run once more.
+        """Whether this entry may send a request again that may have run already.
 
-        So one that may end servers costs one fewer of them.
+        It may not while the request is watched, so that a request that crashes servers
+        costs one server fewer.
         """
         standing = self.tally.standing_of(digest, monotonic_ms())
         return standing.is_sent and standing is not Standing.WATCHED
 
     def note_broken(self, digest: RequestDigest, server: ServerName) -> None:
-        """Note that a server ended while it had a request."""
+        """Record that a server ended while it was running a request."""
         self._ended.append(EndedRun(digest, server))
         self._note_ruling(self.tally.note_end(digest, server, monotonic_ms()))
         self.has_news.set()
 
     def note_good(self, digest: RequestDigest) -> None:
-        """Note that a server answered a request well."""
+        """Record that a server gave a good answer to a request."""
         now_ms = monotonic_ms()
         self._answered_at_ms.pop(digest, None)
         if len(self._answered_at_ms) >= ANSWERED_LIMIT:
@@ -75,17 +76,17 @@
             self._tell_good(digest, now_ms)
 
     def take_runs(self) -> RequestRuns:
-        """Return what is to be told since the last call."""
+        """Return the runs to report since the last call."""
         ended = list(self._ended)
         self._ended.clear()
         good, self._good = list(self._good)[-TOLD_LIMIT:], {}
-        # One that is not set yet may be waited for by another task: it must stay.
+        # An event that is not set may have waiters: it must not be replaced.
         if self.has_news.is_set():
             self.has_news = anyio.Event()
         return RequestRuns(ended, good)
 
     def put_back(self, runs: RequestRuns) -> None:
-        """Tell later what could not be told now."""
+        """Queue runs again whose report could not be sent."""
         since = list(self._ended)
         self._ended.clear()
         self._ended.extend(runs.ended + since)
@@ -93,30 +94,30 @@
         self.has_news.set()
 
     def rulings(self) -> RequestRulings:
-        """Return what a replica that is followed anew may not know."""
+        """Return the current rulings, for a replica that may not know them."""
         now_ms = monotonic_ms()
         held = self.tally.rulings(now_ms)[-TOLD_LIMIT:]
         return RequestRulings([RequestRuling.of(ruling, now_ms) for ruling in held])
 
     def hear_runs(self, runs: RequestRuns) -> None:
-        """Take over what another entry saw."""
+        """Apply the runs that another entry reported."""
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
             self._note_ruling(ruling)
 
     def hear_rulings(self, told: RequestRulings) -> None:
-        """Take over what a replica or another entry holds of requests."""
+        """Apply the rulings of a replica or of another entry."""
         for ruling in self.tally.learn_all(told, monotonic_ms()):
             self._note_ruling(ruling)
 
     def _note_ruling(self, ruling: Ruling | None) -> None:
-        """Object to a ruling that a good answer here contradicts."""
+        """Log a new ruling, or contradict it if this entry had a good answer since."""
         if ruling is None:
             return
         answered_at_ms = self._answered_at_ms.get(ruling.digest)
         is_accused = ruling.standing in (Standing.WATCHED, Standing.REFUSED)
         if is_accused and answered_at_ms is not None:
-            # Reads that are asked for all the time are on each server that ends: they
-            # would be refused with the request that ends it.
+            # Reads that callers repeat all the time are in flight on every server that
+            # ends: they would be refused together with the request that ends it.
             if answered_at_ms >= ruling.since_ms:
                 self._tell_good(ruling.digest, monotonic_ms())
                 return
--- a/src/cinderway/entry/callers/__init__.py
+++ b/src/cinderway/entry/callers/__init__.py
@@ -1,1 +1,1 @@
-"""A caller's request from its arrival to its final answer."""
+"""Handling of a caller's request, from its arrival to its final answer."""
--- a/src/cinderway/entry/callers/_accounts.py
+++ b/src/cinderway/entry/callers/_accounts.py
@@ -1,6 +1,6 @@
-"""Which client account a request belongs to, and what of its headers servers may see.
+"""Find a request's client account and remove the headers that servers must not see.
 
-Pure: the sheet's accounts and the request's headers come in.
+Pure functions of the route sheet's accounts and of the request's headers.
 """
 
 from dataclasses import dataclass
@@ -11,23 +11,23 @@
 from cinderway.entry.callers._requests import AUTHORIZATION
 from cinderway.entry.servers._messages import Headers
 
-# Headers that exist to carry credentials; none of them reaches a server.
+# Headers whose purpose is to carry credentials; none is forwarded to a server.
 CREDENTIAL_HEADERS = frozenset({AUTHORIZATION, b"proxy-authorization"})
 SCHEME = b"bearer"
-# Shorter credentials are no keys, and stand in other headers by chance.
+# Shorter credentials are not keys, and occur in other headers by chance.
 LEAST_SECRET_BYTES = 8
 
 
 @dataclass(frozen=True)
 class Identity:
-    """The account that a request belongs to, if any, and the key that says so."""
+    """The account that a request belongs to, if any, and the key that identifies it."""
 
     key: ApiKey | None = None
     account: AccountRow | None = None
 
     @property
     def account_name(self) -> AccountName | None:
-        """The name of the account, where there is one."""
+        """The name of the account; None without an account."""
         return self.account.name if self.account is not None else None
 
 
@@ -35,7 +35,7 @@
 
 
 def key_of(headers: Headers) -> ApiKey | None:
-    """Return the key that a request carries; None without one, or with several."""
+    """Return the API key of a request; None if it carries none or several."""
     values = [value for name, value in headers if name.lower() == AUTHORIZATION]
     if len(values) != 1:
         return None
@@ -48,10 +48,10 @@
 def identify(
     accounts: AccountIndex | None, route: RouteRow, headers: Headers
 ) -> Identity:
-    """Return whom a request on a route belongs to.
+    """Return the account that a request on a route belongs to.
 
-    Raises CinderwayError with ACCOUNT_UNKNOWN where an account's key is needed and the
-    request has none. The error does not tell the key.
+    Raises CinderwayError with ACCOUNT_UNKNOWN if the route requires an account's key
+    and the request has none. The error does not contain the key.
     """
     if accounts is None:
         return ANONYMOUS
@@ -71,10 +71,10 @@
 def headers_for_servers(
     headers: Headers, account_header: bytes, accounts: AccountIndex | None
 ) -> Headers:
-    """Return a request's headers without what only this entry may say or know.
+    """Return a request's headers without those that servers must not get from it.
 
-    The account's header is the entry's to set, however a caller spells it. Where there
-    are accounts, credentials go no further, nor do headers that repeat one.
+    The account header is removed in every spelling, since only the entry may set it. If
+    there are accounts, credentials and all headers that repeat one are removed too.
     """
     kept = [pair for pair in headers if not _is_spelling_of(pair[0], account_header)]
     if accounts is None:
@@ -89,15 +89,15 @@
 
 
 def _secrets_in(headers: Headers) -> set[bytes]:
-    """Return the last word of each credential: the key, whatever its scheme."""
+    """Return the last word of each credential, which is the key in any scheme."""
     credentials = [v.split() for n, v in headers if n.lower() in CREDENTIAL_HEADERS]
     keys = {words[-1] for words in credentials if words}
     return {key for key in keys if len(key) >= LEAST_SECRET_BYTES}
 
 
 def _is_spelling_of(name: bytes, header: bytes) -> bool:
-    """Whether a server may read a header by this name as the given one.
+    """Whether a server may treat a header with this name as the given header.
 
-    Many servers take an underscore for a dash.
+    Many servers treat an underscore as a dash.
     """
     return bool(header) and name.lower().replace(b"_", b"-") == header
--- a/src/cinderway/entry/callers/_answers.py
+++ b/src/cinderway/entry/callers/_answers.py
@@ -1,6 +1,6 @@
-"""The entry's own answers to callers: problem+json with an outcome that can be read.
+"""The entry's own answers to callers: problem+json (RFC 9457).
 
-Source of the form: RFC 9457. Each says whether the request ran.
+Each one states in a machine-readable field whether the request ran.
 """
 
 from dataclasses import dataclass
@@ -37,7 +37,7 @@
     ErrorCode.BACKEND_LEAVES: 503,
     ErrorCode.BACKEND_MISDIRECTED: 503,
     ErrorCode.UNKNOWN_ROUTE: 404,
-    # This try has not run and never will.
+    # This attempt has not run and will not run.
     ErrorCode.REQUEST_ENDS_SERVERS: 503,
     ErrorCode.BACKEND_FAILED: 502,
     ErrorCode.ANSWER_CUT_SHORT: 502,
@@ -46,12 +46,12 @@
 BAD_GATEWAY = 502
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# Coming back later does not change these.
+# Errors that the same request would get again later.
 WITHOUT_RETRY = {400, UNAUTHORIZED, 404, 413, 422, 428}
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Body of an answer that is the entry's own."""
+    """The body of an answer that the entry itself generates."""
 
     type: str
     title: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class OwnAnswer:
-    """An answer that the entry gives itself."""
+    """An answer that the entry itself generates."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -76,9 +76,11 @@
     outcome: Resolution,
     retry_after_s: float | None = None,
 ) -> OwnAnswer:
-    """Return the final answer for an error: what, where, whether it ran, when next.
+    """Build the final answer for an error.
 
-    Without `retry_after_s` the error says when, if it knows.
+    It holds the error, the step and peer at fault, whether the request ran and when to
+    retry. Without `retry_after_s` the time to retry comes from the error, if it has
+    one.
     """
     if retry_after_s is None:
         retry_after_s = _retry_after_s(error)
@@ -110,7 +112,7 @@
 
 
 def _status_of(error: CinderwayError, outcome: Resolution) -> int:
-    """503 promises that the request did not run; callers may rely on it."""
+    """Return the HTTP status; 503 guarantees callers that the request did not run."""
     status = STATUS_OF_CODE.get(error.code, BAD_GATEWAY)
     if status == UNAVAILABLE and outcome is not Resolution.NOT_RUN:
         is_late = error.code is ErrorCode.DEADLINE_PASSED
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -1,10 +1,10 @@
-"""Whole answers: attempt, hedge and retry until one is there.
+"""Fetch unstreamed answers: attempt, hedge and retry until there is one.
 
 A request that may have run is sent again only if it is repeatable. Hedges and retries
-are paid for from a retry budget and bounded by the request's server limit; retries
-after a shed are neither, unless `pays_for_sheds` is set. A server that could not be
-reached got nothing: another is tried for free, a few times. Nothing is sent again for a
-caller that has left.
+consume a retry budget and are bounded by the request's server limit; retries after a
+shed are neither, unless `pays_for_sheds` is set. A server that could not be reached got
+nothing: another one is tried without using the budget, UNREACHED_LIMIT times at most.
+Nothing is sent again for a caller that has disconnected.
 """
 
 from dataclasses import dataclass, field
@@ -24,46 +24,47 @@
 from cinderway.ledger import Resolution
 
 SERVER_ERROR = 500
-# Servers that one request may find out of reach before it is given up.
+# Unreachable servers that a request may meet; at the next one it fails.
 UNREACHED_LIMIT = 3
 
 
 class RetrySource(Protocol):
-    """Where retries and hedges are paid from."""
+    """The budget that retries and hedges consume."""
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Credit the budget for an incoming request."""
 
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry, after a failure or beside a slow attempt; False if none is
-        left, or if that is not known by `until_ms`.
+        """Consume one retry, after a failure or as a hedge of a slow attempt.
+
+        False if none is left, or if that is not known by `until_ms`.
         """
 
 
 class OwnRetries:
-    """Each service's budget on this entry alone."""
+    """The retry budget that each service has on this entry."""
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Credit the budget for an incoming request."""
         service.budget.earn()
 
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry; False if there is none left."""
+        """Consume one retry; False if none is left."""
         return service.budget.spend()
 
 
 @dataclass
 class Attempts:
-    """Brings one request to as many backend servers as it may reach."""
+    """Sends requests to backend servers, with retries and hedges."""
 
     dispatcher: Dispatcher
     metrics: Metrics
     answer_limit_bytes: int
-    # Whether a request that a server refused to run takes from the budget.
+    # Whether a retry after a server shed the request consumes the budget.
     pays_for_sheds: bool = False
     budget: RetrySource = field(default_factory=OwnRetries)
 
@@ -72,8 +73,9 @@
     ) -> WholeAnswer:
         """Return the first good answer of the servers that the request may reach.
 
-        A server's answer of 5xx is returned if nothing better came. Raises OutcomeError
-        whose outcome is NOT_RUN only if no server can have run the request.
+        A server's answer of 5xx is returned if no better one arrives. Raises
+        OutcomeError, whose outcome is NOT_RUN only if no server can have run the
+        request.
         """
         self.budget.earn(service)
         tries = _Tries(request)
@@ -110,8 +112,8 @@
             exclude=request.tried,
             is_repeatable=is_repeatable,
             penalties=request.penalties,
-            # A second try is for what a first one may have cost already: it is not
-            # turned away.
+            # A second attempt is not refused for a long queue: the first one may have
+            # used up the time until the objective.
             objective_at_ms=None if request.tried else request.objective_at_ms,
             permit=request.permit,
         ) as exchange:
@@ -165,19 +167,20 @@
         has_attempts: bool,
         request: CallerRequest,
     ) -> bool:
-        """Say whether a failed attempt is followed by another, and pay for it."""
+        """Decide whether to retry a failed attempt; consume the budget if so."""
         if isinstance(error, HeldBackError):
-            # No server got it, and the wait for a slot that follows paces it.
+            # No server got it, and the wait for a slot that follows limits the rate.
             return request.permit.holds and not request.caller_left.is_set()
         if error.step in (Step.QUEUE, Step.ROUTE):
             return False
         if error.code is ErrorCode.BACKEND_SHED and not self.pays_for_sheds:
-            # Not run, and the slot wait that follows paces it: no new load.
+            # It did not run, and the wait for a slot that follows limits the rate: a
+            # retry adds no load.
             return True
         if not is_repeatable and outcome is not Resolution.NOT_RUN:
             return False
         if error.step is Step.CONNECT:
-            # Nothing reached a server: no load that a budget would have to bound.
+            # No server got anything, so there is no load for a budget to bound.
             return has_attempts
         if not has_attempts:
             return False
@@ -186,11 +189,11 @@
         return await self._pay_again(service, request)
 
     async def _pay_again(self, service: ServiceState, request: CallerRequest) -> bool:
-        """Take a retry, and leave to send what may have run once more."""
+        """Consume a retry and renew the permit, for a request that may have run."""
         return await self.spend(service, request) and await request.permit.renew()
 
     async def spend(self, service: ServiceState, request: CallerRequest) -> bool:
-        """Take a retry from the service's budget, if there is one left."""
+        """Consume a retry from the service's budget; False if none is left."""
         until_ms = self._retry_until_ms(service, request)
         if not await self.budget.spend(service, until_ms=until_ms):
             return False
@@ -198,14 +201,14 @@
         return True
 
     def _retry_until_ms(self, service: ServiceState, request: CallerRequest) -> float:
-        """Return until when a further try would mostly be answered in time."""
+        """Return until when another attempt would usually be answered in time."""
         usual_ms = self.dispatcher.evidence.pace(service.row.name).usual_ms
         return request.deadline_ms - usual_ms
 
 
 @dataclass
 class _Tries:
-    """What became of one request so far."""
+    """The attempts at one request so far."""
 
     request: CallerRequest
     rounds: int = 0
@@ -214,7 +217,7 @@
     bad_answer: WholeAnswer | None = None
 
     def note_failure(self, error: CinderwayError) -> Resolution:
-        """Note an attempt without an answer; return what it means by itself."""
+        """Record an attempt without an answer; return the outcome of that attempt."""
         outcome = outcome_of_attempt(error)
         self.may_have_run = self.may_have_run or outcome is not Resolution.NOT_RUN
         self.unreached += error.step is Step.CONNECT
@@ -222,18 +225,18 @@
         return outcome
 
     def note_bad_answer(self, answer: WholeAnswer) -> None:
-        """Note a server's answer of 5xx."""
+        """Record a server's answer of 5xx."""
         self.bad_answer = answer
         self.may_have_run = True
 
     @property
     def outcome(self) -> Resolution:
-        """What all attempts together mean."""
+        """The outcome of all attempts together."""
         return Resolution.UNKNOWN if self.may_have_run else Resolution.NOT_RUN
 
     @property
     def has_more(self) -> bool:
-        """Whether the request may reach another server."""
+        """Whether the request may be sent to another server."""
         if self.request.caller_left.is_set() or self.unreached > UNREACHED_LIMIT:
             return False
         if not self.request.permit.holds:
--- a/src/cinderway/entry/callers/_claims.py
+++ b/src/cinderway/entry/callers/_claims.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once: claim, dispatch, record."""
+"""The ledger side of requests that run at most once: claim them, record outcomes."""
 
 from dataclasses import dataclass
 
@@ -21,13 +21,14 @@
 
 RECORD_TIMEOUT_MS = 10_000
 ABANDON_TIMEOUT_MS = 30_000
-# What is left of the caller's time after a claim must suffice for an attempt.
+# Share of the time until the deadline that a claim may take: the rest must suffice for
+# an attempt.
 CLAIM_TIME_SHARE = 0.5
 
 
 @dataclass(frozen=True)
 class Granted:
-    """This attempt may run the request."""
+    """The claim is granted: this attempt may run the request."""
 
     name: ClaimName
     attempt_id: AttemptId
@@ -35,13 +36,13 @@
 
 @dataclass(frozen=True)
 class Resent:
-    """The request ran before; its answer is given again."""
+    """The request ran before; its stored answer is returned."""
 
     answer: StoredAnswer
 
 
 def claim_name_of(request: CallerRequest, service: ServiceRow) -> ClaimName:
-    """Return the name under which the fleet knows a run-once request."""
+    """Return the name that identifies a run-once request in the whole fleet."""
     key = request.header(KEY_HEADER).decode("latin-1")
     return ClaimName(service.name, request.caller, key)
 
@@ -53,9 +54,9 @@
     attempt_id: AttemptId,
     entry: EntryName,
 ) -> Granted | Resent:
-    """Return the ruling on a request, waiting for one that is running.
+    """Claim a request; if another attempt is running it, wait for that one to end.
 
-    Raises CinderwayError whose code says the outcome: see `outcome_of`.
+    Raises CinderwayError, whose code determines the outcome: see `outcome_of`.
     """
     name = claim_name_of(request, service)
     while True:
@@ -87,7 +88,7 @@
     except CinderwayError as error:
         raise CinderwayError(
             ErrorCode.NO_QUORUM,
-            f"the ledger does not answer: {error.detail}",
+            f"the ledger did not answer: {error.detail}",
             step=Step.CLAIM,
             peer=error.peer,
         ) from error
@@ -99,13 +100,13 @@
     resolution: Resolution,
     answer: StoredAnswer = NO_ANSWER,
 ) -> None:
-    """Record an outcome. If that fails the claim turns in doubt at its deadline."""
+    """Record an outcome; if that fails the claim becomes in doubt at its deadline."""
     finish = Finish(granted.name, granted.attempt_id, resolution, answer)
     await ledger.finish(finish, monotonic_ms() + RECORD_TIMEOUT_MS)
 
 
 def outcome_of(error: CinderwayError) -> Resolution:
-    """Return what a failed claim says about the request."""
+    """Return the outcome of a request whose claim failed."""
     match error.code:
         case ErrorCode.CLAIM_IN_DOUBT | ErrorCode.CLAIM_RUNNING:
             return Resolution.UNKNOWN
@@ -139,7 +140,7 @@
 def _still_running() -> CinderwayError:
     return CinderwayError(
         ErrorCode.CLAIM_RUNNING,
-        "another attempt at this request has not ended yet",
+        "another attempt at this request is still running",
         step=Step.CLAIM,
     )
 
@@ -155,10 +156,10 @@
         case Ruling.KEY_REUSED:
             return CinderwayError(
                 ErrorCode.KEY_REUSED,
-                "this Idempotency-Key was used for another request",
+                "this Idempotency-Key was already used for another request",
                 step=Step.CLAIM,
             )
         case _:
             return CinderwayError(
-                ErrorCode.NO_QUORUM, "this attempt was given up", step=Step.CLAIM
+                ErrorCode.NO_QUORUM, "this attempt was abandoned", step=Step.CLAIM
             )
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -1,4 +1,7 @@
-"""The callers' side: one ASGI request from admission to its final answer."""
+"""The ASGI application of an entry that routes by the service table.
+
+Handles one request from admission to its final answer.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -52,7 +55,7 @@
 
 @dataclass
 class Handler:
-    """Serves callers on one entry."""
+    """Serves the callers of one entry."""
 
     settings: EntrySettings
     board: Blackboard
@@ -89,11 +92,11 @@
         except CinderwayError as error:
             await reply.own(problem_answer(error, Resolution.NOT_RUN))
         except AnswerBrokenError:
-            # Raised on to uvicorn, which then closes the connection: the caller
-            # must see that the body is not whole.
+            # Raised to uvicorn, which then closes the connection, so that the caller
+            # sees that the body is incomplete.
             raise
         except Exception:
-            logger.exception("a request failed in an unforeseen way")
+            logger.exception("a request failed with an unexpected error")
             raise
         finally:
             self.board.in_flight -= 1
@@ -103,7 +106,7 @@
         if not self.board.is_table_trusted:
             raise CinderwayError(
                 ErrorCode.TABLE_UNKNOWN,
-                "this entry does not know the table in force yet",
+                "this entry has not received the current service table yet",
                 step=Step.ROUTE,
             )
         match = self.board.routes.match(scope["method"], scope["path"])
@@ -141,7 +144,8 @@
                 permit=permit,
             )
             permit.digest = await digest_of(request, self.digests)
-            # Before a request that runs once is claimed: it is not run here.
+            # Checked before a run-once request is claimed, since a refused one does not
+            # run here.
             permit.require()
             await self._serve_by_kind(match, service, request, receive, reply)
         finally:
@@ -150,7 +154,7 @@
     def _admit(
         self, service: ServiceState, caller: CallerName, remaining_ms: int
     ) -> None:
-        # All entries share the slots; a request here waits for this entry's part.
+        # The entries share the slots; requests here wait for this entry's share.
         slots = sum(server.row.slots for server in usable_servers(service))
         usable_slots = slots / self.board.entry_count
         decision = service.admission.decide(
@@ -174,12 +178,12 @@
             case Repeatability.SINGLE if match.is_run_once and service.row.key_required:
                 raise CinderwayError(
                     ErrorCode.KEY_REQUIRED,
-                    f"{KEY_HEADER.decode()} is required here",
+                    f"{KEY_HEADER.decode()} is required for this service",
                     step=Step.CLAIM,
                 )
             case Repeatability.SINGLE:
-                # Not cancelled with its caller: it may not run twice, so what came
-                # of it must be seen to the end.
+                # Not cancelled when the caller disconnects: the request may not run
+                # twice, so its outcome must be awaited.
                 await self._attempt_whole(service, request, reply, False)
             case Repeatability.REPEATABLE:
                 await self._serve_repeatable(service, request, receive, reply)
@@ -236,7 +240,7 @@
     if not 1 <= length <= KEY_LIMIT_BYTES:
         raise CinderwayError(
             ErrorCode.KEY_REQUIRED,
-            f"{KEY_HEADER.decode()} of {length} bytes; 1 to {KEY_LIMIT_BYTES} allowed",
+            f"{KEY_HEADER.decode()} has {length} bytes; 1 to {KEY_LIMIT_BYTES} allowed",
             step=Step.CLAIM,
         )
 
--- a/src/cinderway/entry/callers/_outcomes.py
+++ b/src/cinderway/entry/callers/_outcomes.py
@@ -1,4 +1,4 @@
-"""How a request can end without a backend server's answer."""
+"""The ways in which a request can end without a backend server's answer."""
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway.ledger import Resolution
@@ -6,7 +6,7 @@
 
 
 class RefusedError(CinderwayError):
-    """A request that was not taken, with when to come back."""
+    """The request was not admitted; `retry_after_s` tells when to retry."""
 
     def __init__(self, refused: Refused):
         super().__init__(refused.code, refused.detail, step=Step.QUEUE)
@@ -14,7 +14,7 @@
 
 
 class OutcomeError(Exception):
-    """A request that ended without an answer, with what is known of its outcome."""
+    """The request ended without an answer; `outcome` tells whether it may have run."""
 
     def __init__(self, error: CinderwayError, outcome: Resolution):
         super().__init__(str(error))
@@ -23,11 +23,11 @@
 
 
 class AnswerBrokenError(Exception):
-    """A streamed answer that cannot be ended: the caller's connection must break."""
+    """A streamed answer cannot be completed: the caller's connection must be closed."""
 
 
 def outcome_of_attempt(error: CinderwayError) -> Resolution:
-    """Say whether a failed attempt's request may have run."""
+    """Return whether the request of a failed attempt may have run."""
     if error.code in (ErrorCode.BACKEND_SHED, ErrorCode.BACKEND_MISDIRECTED):
         return Resolution.NOT_RUN
     if error.step in (Step.QUEUE, Step.ROUTE, Step.CONNECT):
--- a/src/cinderway/entry/callers/_permits.py
+++ b/src/cinderway/entry/callers/_permits.py
@@ -1,7 +1,7 @@
-"""Leave to send one request.
+"""Permission to send one request.
 
-Its key still counts, its account has room for it, and not too many servers have ended
-under it.
+The request's key must still be valid, its account must have a token left, and the
+request must not be one that crashes servers.
 """
 
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 
 @dataclass(kw_only=True)
 class RequestPermit(PoisonPermit):
-    """Leave by what is known of a request and of the account that its key belongs to.
+    """Permits a request by its digest and by the account that its key belongs to.
 
-    `identity` is what the key said when the request was looked at last.
+    `identity` is the result of the last look-up of the key.
     """
 
     state: CatalogBoard
@@ -27,13 +27,14 @@
     headers: Headers
     identity: Identity = ANONYMOUS
     _route: RouteRow | None = None
-    # The account that the request has taken a token of.
+    # The account whose token the request holds.
     _paid: AccountRow | None = None
 
     async def take(self, route: RouteRow) -> None:
-        """Look the key up for a route, and take a token unless one is there.
+        """Look up the key for a route, and acquire a token if the request has none.
 
-        Raises CinderwayError with ACCOUNT_UNKNOWN, and AllowanceError.
+        Raises CinderwayError with ACCOUNT_UNKNOWN if the route requires an account and
+        the key has none, and AllowanceError if there is no token.
         """
         self._route = route
         self.origin = route.name
@@ -48,13 +49,13 @@
             self._paid = account
 
     def refusal(self) -> CinderwayError | None:
-        """Return why the request may not be sent, or not any longer."""
+        """Return why the request may not be sent, or no longer; None if it may."""
         refusal = super().refusal()
         if refusal is not None or self._is_key_the_same():
             return refusal
         return CinderwayError(
             ErrorCode.ACCOUNT_UNKNOWN,
-            "the request's key was taken away while it waited",
+            "the request's key was revoked or moved while the request waited",
             step=Step.QUEUE,
         )
 
@@ -66,19 +67,19 @@
         return known.account_name == self.identity.account_name
 
     async def renew(self) -> bool:
-        """Say whether one that may have run can be sent once more, and pay for it."""
+        """Acquire another token to send the request again after it may have run."""
         if not await super().renew():
             return False
         try:
             if self.identity.account is not None:
                 await self.allowances.take(self.identity.account)
         except AllowanceError:
-            # Counted as a refusal; what the first server says goes to the caller.
+            # Counted as a refusal; the caller gets the result of the first attempt.
             return False
         return True
 
     def give_back(self) -> None:
-        """Return the token of a request that no server got, if it took one."""
+        """Return the token of a request that no server got, if it holds one."""
         paid, self._paid = self._paid, None
         if paid is not None:
             self.allowances.give_back(paid)
--- a/src/cinderway/entry/callers/_poison_permit.py
+++ b/src/cinderway/entry/callers/_poison_permit.py
@@ -1,4 +1,4 @@
-"""Leave to send a request by what is known of the servers that ended under it."""
+"""Permission to send a request, unless it is known to crash backend servers."""
 
 import logging
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 
 logger = logging.getLogger(__name__)
 
-# Of a request whose body is not there yet: no request has it.
+# Digest of a request whose body has not arrived yet; no real digest equals it.
 UNKNOWN_DIGEST = RequestDigest(b"")
 
 
 class PoisonError(RefusedForNowError):
-    """A request that is not sent, since servers end under it, and until when."""
+    """The request is refused for now, because servers end while they run it."""
 
     def __init__(self, ruling: Ruling, now_ms: int):
         super().__init__(
@@ -33,20 +33,20 @@
 
 @dataclass(kw_only=True)
 class PoisonPermit(Permit):
-    """Leave by what the fleet knows of one request, and what tells it of its runs.
+    """Permits a request by the fleet's ruling on it, and records how its runs end.
 
-    `origin` is what the counter of broken runs is split by: a route or a service.
+    `origin` labels the counter of broken runs: the name of a route or a service.
     """
 
     watch: PoisonWatch
     metrics: Metrics
     origin: str = ""
-    # What its repeats share; known once the body is there.
+    # Digest that all repeats of the request share; known once the body is read.
     digest: RequestDigest = UNKNOWN_DIGEST
     attempt_id: AttemptId | None = None
 
     def refusal(self) -> CinderwayError | None:
-        """Return why the request may not be sent, or not any longer."""
+        """Return why the request may not be sent, or no longer; None if it may."""
         ruling = self.watch.refusal_of(self.digest)
         return None if ruling is None else PoisonError(ruling, monotonic_ms())
 
@@ -57,11 +57,11 @@
             raise refusal
 
     async def renew(self) -> bool:
-        """Say whether one that may have run can be sent once more."""
+        """Return whether the request can be sent again after it may have run."""
         return self.holds and self.watch.may_be_repeated(self.digest)
 
     def note_broken_run(self, server: ServerName, run_ms: int) -> None:
-        """Tell under which request a server's connection broke."""
+        """Record that a server's connection broke while it was running the request."""
         self.watch.note_broken(self.digest, server)
         self.metrics.count("runs_broken_total", {"route": self.origin})
         logger.info(
@@ -73,5 +73,5 @@
         )
 
     def note_good_run(self) -> None:
-        """Tell that the request does not end servers."""
+        """Record that a server answered the request well and thus did not end."""
         self.watch.note_good(self.digest)
--- a/src/cinderway/entry/callers/_policies.py
+++ b/src/cinderway/entry/callers/_policies.py
@@ -1,33 +1,34 @@
-"""What a route's kind and a refusal's reason mean for a request. Pure."""
+"""Hedging delays, retry times and penalties by route and rejection reason. Pure."""
 
 from cinderway._errors import ErrorCode
 from cinderway.catalog import RouteKind
 from cinderway.judgement import Pace
 from cinderway.routing import Penalties
 
-# Spread, so that callers told to come back do not come together.
+# Randomized, so that callers that are told to retry do not all do so at once.
 RETRY_AFTER_MINIMUM_S = 0.2
 RETRY_AFTER_SPREAD_S = 0.4
-# A server that shed a request may take the next one: slots come free within a tenth of
-# a second or two, and a caller that is back by then still gets its answer in time.
+# A server that shed a request may accept the next one: slots become free within 0.1 s
+# to 0.2 s, and a caller that retries by then still gets its answer in time.
 SHED_RETRY_AFTER_MINIMUM_S = 0.1
 SHED_RETRY_AFTER_SPREAD_S = 0.2
-# A repeatable request that fails goes to another server at once, but out of a budget.
-# For one that cannot be sent again a failure is final, while waiting for a slot is not:
-# a suspect server gets it only where all others have long queues.
+# A repeatable request that fails is sent to another server at once, at the cost of a
+# retry. For a request that cannot be sent again a failure is final, whereas waiting for
+# a slot is not: a suspect server gets it only if all others have long queues.
 REPEATABLE_PENALTIES = Penalties(other_hall=0.7, suspect=3.0)
 ONCE_PENALTIES = Penalties(other_hall=0.7, suspect=5.0)
-# A large answer from another hall costs more than a long wait for one from the own. Not
-# at any price: those of a hall whose few servers hang would fail.
+# A large answer from another data hall costs more than a long wait for a server of the
+# entry's own hall. The penalty is finite, since downloads in a hall whose few servers
+# hang would fail otherwise.
 DOWNLOAD_PENALTIES = Penalties(other_hall=4.0, suspect=3.0)
 
 
 def hedge_after_ms(pace: Pace, objective_ms: int) -> float:
-    """Return how long a repeatable request waits before a second server gets it.
+    """Return the delay after which a repeatable request is hedged to a second server.
 
-    Most answers come sooner, so that few second tries are wasted; where those nine
-    tenths take long, as in a queue, still early enough for the second server's answer
-    to come within the objective.
+    Nine tenths of the answers arrive sooner, so that few hedges are wasted. If those
+    nine tenths take long, as in a queue, the hedge is sent early enough for the second
+    server's answer to arrive within the objective.
     """
     if not objective_ms:
         return pace.slow_ms
@@ -36,7 +37,7 @@
 
 
 def retry_after_s(code: ErrorCode, spread: float) -> float:
-    """Return when a refused caller is to come back; `spread` is from 0 to 1."""
+    """Return after how long a refused caller should retry; `spread` is from 0 to 1."""
     if code is ErrorCode.BACKEND_SHED:
         after_s = SHED_RETRY_AFTER_MINIMUM_S + SHED_RETRY_AFTER_SPREAD_S * spread
     else:
@@ -45,7 +46,7 @@
 
 
 def penalties_of(kind: RouteKind) -> Penalties:
-    """Return what counts against a server that is to get a route's requests."""
+    """Return the penalties for choosing a server for requests of a route."""
     match kind:
         case RouteKind.DOWNLOAD:
             return DOWNLOAD_PENALTIES
--- a/src/cinderway/entry/callers/_race.py
+++ b/src/cinderway/entry/callers/_race.py
@@ -1,4 +1,4 @@
-"""Two attempts at one repeatable request: the first good answer wins."""
+"""Hedging of repeatable requests: of two attempts the first good answer wins."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -12,14 +12,15 @@
 from cinderway.ledger import Resolution
 
 SERVER_ERROR = 500
-# The budget that second attempts are paid from gains one every few tenths of a second.
+# Interval of asking again for a hedge that was refused. The budget that hedges consume
+# gains one every few tenths of a second.
 ASK_AGAIN_MS = 150
 
 AttemptRunner = Callable[[], Awaitable[WholeAnswer]]
 
 
 class Race:
-    """Collects what the attempts bring."""
+    """Collects the results of concurrent attempts."""
 
     def __init__(self):
         self._running = 0
@@ -29,23 +30,23 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether there is a good answer, or no attempt is left."""
+        """Whether there is a good answer, or no attempt is running any more."""
         return self._settled.is_set()
 
     async def wait(self) -> None:
-        """Return once the race is settled."""
+        """Wait until the race is settled."""
         await self._settled.wait()
 
     def enter(self) -> None:
-        """Note that an attempt begins; call before its task starts."""
+        """Count an attempt as running; to be called before its task starts."""
         self._running += 1
 
     async def run(self, attempt: AttemptRunner) -> None:
-        """Run an attempt that entered."""
+        """Run an attempt that was counted, and record its result."""
         try:
             answer = await attempt()
         except CinderwayError as error:
-            # If any of the attempts may have run, that is what the caller must hear.
+            # If any of the attempts may have run, the caller must be told that.
             if self._error is None or outcome_of_attempt(error) is Resolution.UNKNOWN:
                 self._error = error
         else:
@@ -58,7 +59,7 @@
             self._settled.set()
 
     def result(self) -> WholeAnswer:
-        """Return the winner's answer, or raise the last attempt's error."""
+        """Return the winning answer, or raise the error to report if there is none."""
         if self._answer is not None:
             return self._answer
         raise self._error
@@ -66,9 +67,9 @@
 
 @dataclass(frozen=True)
 class Hedge:
-    """When a second attempt may begin, on the monotonic clock, and who allows it.
+    """When a second attempt may start, on the monotonic clock, and a check for it.
 
-    Where that is refused for the moment, it is asked for again until `until_ms`.
+    While `is_allowed` returns False it is called again, until `until_ms`.
     """
 
     from_ms: float
@@ -77,7 +78,7 @@
 
 
 async def race(attempt: AttemptRunner, hedge: Hedge) -> WholeAnswer:
-    """Attempt, and once more beside it if there is no answer after a while."""
+    """Run an attempt, and a second one alongside it if there is no answer in time."""
     runners = Race()
     async with anyio.create_task_group() as tasks:
         runners.enter()
@@ -91,7 +92,7 @@
 
 
 async def _wait_to_hedge(runners: Race, hedge: Hedge) -> bool:
-    """Return True once a second attempt is to begin, False if none is."""
+    """Wait until a second attempt should start; False if none should."""
     look_at_ms = hedge.from_ms
     while True:
         with anyio.move_on_after(max(look_at_ms - monotonic_ms(), 0) / 1000):
@@ -106,7 +107,7 @@
 
 
 async def _is_allowed(runners: Race, hedge: Hedge) -> bool:
-    """Ask for leave, unless the race is settled first: an answer does not wait."""
+    """Ask whether to hedge, but stop asking when the race is settled."""
     is_allowed = False
     async with anyio.create_task_group() as tasks:
 
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -1,4 +1,4 @@
-"""Bring an answer to the caller: whole, or streamed with resumption."""
+"""Relay an answer to the caller: read to its end, or streamed and resumable."""
 
 import re
 from dataclasses import dataclass
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """An answer read to its end.
+    """An answer that was read to its end.
 
-    `announced_length` is set where the length is of a body that is not sent (HEAD).
+    `announced_length` is set if the length is that of a body that is not sent (HEAD).
     """
 
     status: int
@@ -38,7 +38,7 @@
 async def read_whole(
     dispatcher: Dispatcher, exchange: Exchange, limit_bytes: int, deadline_ms: int
 ) -> WholeAnswer:
-    """Read an answer to its end; raises CinderwayError if it is cut or too large."""
+    """Read an answer to its end; raises CinderwayError if it breaks or is too large."""
     answer = exchange.answer
     parts: list[bytes] = []
     size_bytes = 0
@@ -68,10 +68,10 @@
 
 
 def headers_for_caller(answer: BackendAnswer) -> Headers:
-    """Return the headers of a server's answer that go on to the caller.
+    """Return the headers of a server's answer that are forwarded to the caller.
 
-    A rest that a server asks this entry for is not the caller's: another server may
-    take the request at once.
+    Retry-After in an answer of 503 is addressed to this entry, not to the caller:
+    another server may accept the request at once.
     """
     headers = forwarded(_lower(answer.headers), answer.names)
     if answer.status != UNAVAILABLE:
@@ -80,7 +80,7 @@
 
 
 async def next_chunk(chunks, exchange: Exchange, stall_timeout_ms: int) -> bytes | None:
-    """Return the next part of a streamed body, or None at its end."""
+    """Return the next chunk of a streamed body, or None at its end."""
     try:
         with anyio.fail_after(stall_timeout_ms / 1000):
             return await anext(chunks, None)
@@ -89,10 +89,10 @@
 
 
 class Download:
-    """Where a streamed answer stands, and how it can be gone on with elsewhere.
+    """The progress of a streamed answer, and how to resume it at another server.
 
-    Resuming needs a strong ETag, since only that promises the same bytes on every
-    server (RFC 9110, section 13.1.5), and an answer whose length is known.
+    Resuming requires a strong ETag, since only that guarantees the same bytes on every
+    server (RFC 9110, section 13.1.5), and an answer of known length.
     """
 
     def __init__(self, answer: BackendAnswer):
@@ -103,7 +103,7 @@
 
     @property
     def is_resumable(self) -> bool:
-        """Whether another server can go on with it."""
+        """Whether another server can resume the answer."""
         return (
             self.status in (OK, PARTIAL_CONTENT)
             and self.etag is not None
@@ -112,7 +112,7 @@
         )
 
     def resume_request(self, request: BackendRequest) -> BackendRequest:
-        """Return the request for the rest of the body."""
+        """Build the request for the rest of the body."""
         kept = [
             (name, value)
             for name, value in request.headers
--- a/src/cinderway/entry/callers/_reply.py
+++ b/src/cinderway/entry/callers/_reply.py
@@ -1,4 +1,4 @@
-"""What goes back to one caller, by ASGI messages."""
+"""Send an answer to one caller as ASGI messages."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,7 +19,7 @@
 
 
 class Reply:
-    """What goes back to one caller; `outcome` is for the counters."""
+    """Sends the answer to one caller; `outcome` is the label for the counters."""
 
     def __init__(self, send: Send, board: Blackboard):
         self._send = send
@@ -29,7 +29,7 @@
         self.outcome = "broken"
 
     async def own(self, answer: OwnAnswer) -> None:
-        """Send the entry's own answer."""
+        """Send an answer that the entry itself generated."""
         length = (b"content-length", b"%d" % len(answer.body))
         await self._start(answer.status, [*answer.headers, length])
         await self._send({"type": "http.response.body", "body": answer.body})
@@ -38,7 +38,7 @@
     async def whole(
         self, answer: WholeAnswer, outcome: Resolution | None = None
     ) -> None:
-        """Send an answer that is there whole."""
+        """Send an answer that was read to its end."""
         headers = list(answer.headers)
         if answer.announced_length is not None:
             headers.append((b"content-length", answer.announced_length))
@@ -59,7 +59,7 @@
         await self._start(answer.status, headers)
 
     async def part(self, chunk: bytes) -> None:
-        """Send a part of a streamed answer."""
+        """Send a chunk of a streamed answer."""
         message = {"type": "http.response.body", "body": chunk, "more_body": True}
         await self._send(message)
 
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, read from ASGI."""
+"""A caller's request as read from ASGI, and what is derived from it."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -29,12 +29,13 @@
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 KEY_HEADER = b"idempotency-key"
 AUTHORIZATION = b"authorization"
-# From here on a digest is made in another thread: nothing else would run meanwhile.
+# Digests of bodies from this size on are computed in a worker thread, since they would
+# block the event loop.
 LARGE_BODY_BYTES = 256 * 1024
 KEY_LIMIT_BYTES = 255
-# Servers that one request may reach where nothing else is said.
+# Default for the number of servers that one request may reach.
 ATTEMPT_LIMIT = 4
-# Source: RFC 9110, section 7.6.1. These concern one connection only.
+# Headers that apply to one connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -52,7 +53,7 @@
 
 
 class Repeatability(Enum):
-    """How often a request may reach backend servers."""
+    """How often a request may be sent to backend servers."""
 
     REPEATABLE = "repeatable"
     SINGLE = "single"
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A whole request with its deadline on this entry's monotonic clock."""
+    """A complete request; its deadline is on this entry's monotonic clock."""
 
     method: str
     path: str
@@ -70,20 +71,20 @@
     deadline_ms: int
     body: bytes
     backend_request: BackendRequest
-    # The caller's own name of this try, where callers give one.
+    # The id that the caller gave this attempt, if any.
     attempt_id: AttemptId | None = None
-    # How many servers may get it, and those that did.
+    # How many servers it may be sent to; those it was sent to are in `tried`.
     server_limit: int = ATTEMPT_LIMIT
-    # The time from its arrival within which an answer is worth most; 0 if unknown.
+    # The latency objective, counted from the request's arrival; 0 if unknown.
     objective_ms: int = 0
-    # When that time is over; None where nothing goes by it.
+    # When the latency objective is missed; None if the request is not judged by it.
     objective_at_ms: int | None = None
     tried: set[ServerName] = field(default_factory=set)
-    # Set when the caller is gone while an attempt is seen to its end all the same.
+    # Set when the caller has disconnected although an attempt still runs to its end.
     caller_left: anyio.Event = field(default_factory=anyio.Event)
-    # Leave to send it, and to send it again.
+    # Decides whether the request may be sent, and sent again.
     permit: Permit = UNLIMITED
-    # What counts against a server when one is chosen for it.
+    # Penalties by which servers are compared when one is chosen for the request.
     penalties: Penalties = USUAL_PENALTIES
 
     def header(self, name: bytes) -> bytes | None:
@@ -100,7 +101,7 @@
 
 
 def repeatability_of(request: CallerRequest, match: RouteMatch) -> Repeatability:
-    """Say how often a request may reach backend servers."""
+    """Return how often a request may be sent to backend servers."""
     if match.is_run_once:
         if request.header(KEY_HEADER) is not None:
             return Repeatability.RUN_ONCE
@@ -111,7 +112,7 @@
 
 
 def caller_of(scope: dict, caller_header: bytes) -> CallerName:
-    """Return the caller's name: its header, or else its IP number."""
+    """Return the caller's name: the caller header, or else its IP address."""
     named = find_header(scope["headers"], caller_header)
     if named is not None:
         return CallerName(named.decode("latin-1")[:KEY_LIMIT_BYTES])
@@ -120,7 +121,7 @@
 
 
 def deadline_of(scope: dict, timeout_ms: int, now_ms: int) -> int:
-    """Return the request's deadline: the caller's if sooner than the service's."""
+    """Return the deadline: the earlier one of the caller's and the service's."""
     text = find_header(scope["headers"], DEADLINE_HEADER)
     if text is not None and text.isdigit():
         timeout_ms = min(timeout_ms, int(text))
@@ -128,16 +129,16 @@
 
 
 def fingerprint_of(request: CallerRequest) -> bytes:
-    """Return a digest that tells whether two requests with one key are the same."""
+    """Return a digest that differs between different requests with the same key."""
     target = request.backend_request.target
     parts = (request.method.encode(), target, request.body)
     return xxhash.xxh3_128_digest(b"\0".join(parts))
 
 
 async def digest_of(request: CallerRequest, digests: RequestDigests) -> RequestDigest:
-    """Return what all repeats of a request share, at whichever entry they come."""
+    """Return a digest that all repeats of a request share, at every entry."""
     sent = request.backend_request
-    # Where callers have no names only what a request carries tells them apart.
+    # Callers without a name are told apart by the credentials of their requests.
     caller = request.caller.encode() or request.header(AUTHORIZATION) or b""
     host = request.header(b"host") or b""
     parts = (sent.method, host, sent.target, caller, sent.body)
@@ -153,15 +154,15 @@
     caller_headers: Headers | None = None,
     account: AccountName | None = None,
 ) -> BackendRequest:
-    """Return what goes to the backend server.
+    """Build the request that is sent to the backend server.
 
-    `caller_headers` stand in place of the request's own where some may not go on;
-    `account` is the client account that servers are told.
+    `caller_headers` replaces the request's own headers if some must not be forwarded;
+    `account` is the client account that is named to servers.
     """
     target = scope["raw_path"]
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
-    # The attempt's name is set anew for each send.
+    # The attempt id is added separately for each attempt.
     headers = [
         (name, value)
         for name, value in forwarded(
@@ -179,7 +180,7 @@
 
 
 def forwarded(headers: Headers, names: HeaderNames = OWN_NAMES) -> Headers:
-    """Return the headers that go on to the other side."""
+    """Return the headers that are forwarded to the other side."""
     own = {names.deadline, names.expected, names.not_run, names.load, names.leaving}
     named = find_header(headers, b"connection") or b""
     also_dropped = {name.strip().lower() for name in named.split(b",")}
@@ -196,7 +197,8 @@
 async def read_body(receive, limit_bytes: int) -> bytes:
     """Read a request's whole body.
 
-    Raises CinderwayError with REQUEST_TOO_LARGE over the limit, and CallerLeftError.
+    Raises CinderwayError with REQUEST_TOO_LARGE if it exceeds the limit, and
+    CallerLeftError if the caller disconnects before its end.
     """
     body = await whole_body(receive, limit_bytes)
     if body is None:
@@ -205,4 +207,4 @@
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection before it got an answer."""
+    """The caller closed its connection before it received an answer."""
--- a/src/cinderway/entry/callers/_route_handler.py
+++ b/src/cinderway/entry/callers/_route_handler.py
@@ -1,7 +1,7 @@
-"""The callers' side of an entry that serves by the catalog's route sheet.
+"""The ASGI application of an entry that routes by the catalog's route sheet.
 
-Each request ends with one log line. An answer of 503 that is the entry's own promises
-that no backend server has run the request.
+Each request ends with one log line. An answer of 503 that the entry itself generates
+guarantees that no backend server has run the request.
 """
 
 import logging
@@ -47,24 +47,26 @@
 
 Receive = Callable[[], Awaitable[dict]]
 
-# Servers that one request may reach where its route does not say.
+# Servers that one request may reach if its route sets no limit.
 DEFAULT_SERVER_LIMIT = 2
-# Several times the way to a caller; small beside any deadline of a second or more.
+# Several times the network latency to a caller, and small compared with any deadline of
+# a second or more.
 ANSWER_MARGIN_MS = 60
-# A fleet that starts anew has a leader and its catalog back in about half a second; a
-# caller who would give up sooner is told to come back while it still can.
+# A fleet that restarts has a leader and its catalog again after about half a second. A
+# caller with a shorter deadline is told to retry while it still waits.
 SHEET_WAIT_MS = 700
 SHEET_WAIT_SHARE = 0.25
-# What an entry knows is at most 0.8 s old while its replica tells it (a heartbeat each
-# half second, of what was known a quarter of a second before); more on slow links.
+# While an entry follows a replica its catalog is at most 0.8 s old, since a heartbeat
+# every half second covers the state of a quarter of a second before. It is older on slow
+# links.
 OUTDATED_MS = 1_500
-# Refusals that the sheet alone decides, and after which callers do not come back.
+# Errors that follow from the sheet alone, and after which callers do not retry.
 FINAL_BY_SHEET = {ErrorCode.UNKNOWN_ROUTE, ErrorCode.ACCOUNT_UNKNOWN}
 
 
 @dataclass
 class RouteHandler:
-    """Serves callers on one entry."""
+    """Serves the callers of one entry."""
 
     state: CatalogBoard
     attempts: Attempts
@@ -95,7 +97,7 @@
             served.error = error = self._unless_outdated(error)
             await self._refuse(reply, error, Resolution.NOT_RUN)
         except Exception:
-            logger.exception("a request failed in an unforeseen way")
+            logger.exception("a request failed with an unexpected error")
             raise
         finally:
             board.in_flight -= 1
@@ -104,9 +106,9 @@
             self._note_end(served, reply)
 
     def _unless_outdated(self, error: CinderwayError) -> CinderwayError:
-        """Return a refusal, but one to come back where a newer sheet may allow it.
+        """Replace a final error by a retryable one if a newer sheet may not cause it.
 
-        Callers do not come back after 401 and 404. An entry that had lost its replica
+        Callers do not retry after 401 and 404. An entry that had lost its replica
         answered 404 for a route that had been added 3.4 s before.
         """
         age_ms = self.state.age_ms(monotonic_ms())
@@ -131,7 +133,7 @@
     ) -> None:
         await self._wait_for_sheet(scope, served.started_at_ms)
         served.route = route = self._route_of(scope)
-        # Before the body: whoever may not send it need not.
+        # Before the body is read: a caller without permission need not send it.
         permit = RequestPermit(
             watch=self.state.poison,
             metrics=self.metrics,
@@ -143,7 +145,7 @@
         await permit.take(route)
         deadline_ms = self._deadline_of(scope, route, served.started_at_ms)
         body = await self._body_by(deadline_ms, receive)
-        # Another sheet may have come in the meantime: its services and keys count.
+        # The sheet may have changed in the meantime: use its current services and keys.
         served.route = route = self._route_of(scope)
         await permit.take(route)
         served.service = pick_service(route, self.state.board.rng)
@@ -204,7 +206,7 @@
         if reading.cancelled_caught:
             raise CinderwayError(
                 ErrorCode.DEADLINE_PASSED,
-                "the request's body did not come in time",
+                "the request's body did not arrive before the deadline",
                 step=Step.RECEIVE,
             )
         return body
@@ -213,11 +215,11 @@
         if self.state.routes is None:
             raise CinderwayError(
                 ErrorCode.TABLE_UNKNOWN,
-                "this entry does not know the route sheet yet",
+                "this entry has not received the route sheet yet",
                 step=Step.ROUTE,
             )
         host = find_header(scope["headers"], b"host") or b""
-        # The path as sent: a decoded one could name another place.
+        # The path as sent: a decoded one could denote another resource.
         path = scope["raw_path"].decode("latin-1")
         route = self.state.routes.match(host.decode("latin-1"), path)
         if route is None:
@@ -232,7 +234,7 @@
         text = find_header(scope["headers"], self.names.deadline)
         timeout_ms = route.timeout_ms
         if text is not None and text.isdigit():
-            # The last answer must still reach a caller that waits no longer.
+            # The answer must reach the caller before the caller's own deadline.
             timeout_ms = min(timeout_ms, int(text) - ANSWER_MARGIN_MS)
         return now_ms + max(timeout_ms, 0)
 
@@ -249,7 +251,8 @@
         async with anyio.create_task_group() as tasks:
             scope = tasks.cancel_scope
             tasks.start_soon(_watch_caller, receive, scope, route, request)
-            # One that left while its request waited is noticed before a server gets it.
+            # Detects a caller that disconnected while its request waited, before a
+            # server gets the request.
             await anyio.lowlevel.checkpoint()
             try:
                 answer = await self.attempts.whole_answer(
@@ -265,7 +268,7 @@
             raise CallerLeftError
 
     def _note_end(self, served: Served, reply: Reply) -> None:
-        """Count the request, and write its log line."""
+        """Count the request and write its log line."""
         now_ms = monotonic_ms()
         duration_ms = now_ms - served.started_at_ms
         route = served.route_name
@@ -278,18 +281,18 @@
 
 
 def _objective_at_ms(route: RouteRow, started_at_ms: int) -> int | None:
-    """Return when an answer begins to count as late; None without an objective."""
+    """Return when the latency objective is missed; None without an objective."""
     return started_at_ms + route.objective_ms if route.objective_ms else None
 
 
 async def _watch_caller(
     receive: Receive, scope: anyio.CancelScope, route: RouteRow, request: CallerRequest
 ) -> None:
-    """Give a request up when its caller leaves, unless it may not run again.
+    """Cancel a request when its caller disconnects, unless it must run to its end.
 
-    An attempt of one that may run once only is seen to its end when a server may have
-    got it, but no other server gets it after that; while it still waits for a server it
-    is given up too.
+    A request that may run only once is not cancelled after a server may have got it:
+    that attempt runs to its end, but no other server gets the request. While it still
+    waits for a server it is cancelled too.
     """
     while True:
         message = await receive()
--- a/src/cinderway/entry/callers/_run_once.py
+++ b/src/cinderway/entry/callers/_run_once.py
@@ -1,4 +1,4 @@
-"""Run-once requests: claim, run, record, and only then tell."""
+"""Run-once requests: claim, run, record the outcome, and only then answer."""
 
 import logging
 from dataclasses import dataclass
@@ -31,22 +31,22 @@
 
 @dataclass
 class RunOnce:
-    """Serves run-once requests of one entry."""
+    """Serves the run-once requests of one entry."""
 
     entry: EntryName
     attempts: Attempts
     ledger: LedgerClient
     metrics: Metrics
     tasks: TaskGroup
-    # Requests and tombstones that a stop must wait for.
+    # Requests and tombstones being written, which a stop must wait for.
     in_progress: int = 0
 
     async def serve(
         self, service: ServiceState, request: CallerRequest, reply: Reply
     ) -> None:
-        """Serve one request; its answer goes to the reply."""
-        # In a task of the daemon's, not the caller's: once dispatched, the request
-        # is seen to its end and recorded whether or not the caller stays.
+        """Serve one request and send its answer."""
+        # Runs in a task of the daemon, not of the caller: once dispatched, the request
+        # runs to its end and is recorded even if the caller disconnects.
         done = anyio.Event()
         self.tasks.start_soon(self._run, service, request, reply, done)
         await done.wait()
@@ -66,8 +66,8 @@
         except CinderwayError as error:
             await reply.own(problem_answer(error, _claims.outcome_of(error)))
         except Exception:
-            # One request's fault must not end the task group of all.
-            logger.exception("a run-once request failed in an unforeseen way")
+            # An error in one request must not end the task group that all share.
+            logger.exception("a run-once request failed with an unexpected error")
         finally:
             self.in_progress -= 1
             done.set()
@@ -82,8 +82,8 @@
             )
         except CinderwayError as error:
             if error.code is ErrorCode.NO_QUORUM:
-                # The claim may still land. It is never dispatched from here on, and
-                # the tombstone lets the caller's next try run.
+                # The claim may still reach the ledger. It is not dispatched any more,
+                # and the tombstone lets the caller's next attempt run.
                 self.tasks.start_soon(self._abandon, service, request, attempt_id)
             raise
         match ruling:
@@ -105,8 +105,8 @@
         try:
             answer = await self.attempts.whole_answer(service, request, False)
         except OutcomeError as error:
-            # Recorded before it is told: a caller that is told "not run" and asks
-            # again must not meet its own old claim.
+            # Recorded before the caller is answered: a caller that is told "not run"
+            # and retries must not conflict with its own earlier claim.
             await self._record(granted, error.outcome)
             raise
         kept = self._stored(service, answer)
@@ -129,7 +129,9 @@
             await _claims.record(self.ledger, granted, resolution, answer)
         except CinderwayError as error:
             self.metrics.count("claims_unrecorded_total", {})
-            logger.warning("claim %s was not recorded: %s", granted.name.key, error)
+            logger.warning(
+                "the outcome of claim %s was not recorded: %s", granted.name.key, error
+            )
 
     async def _abandon(
         self, service: ServiceState, request: CallerRequest, attempt_id: AttemptId
@@ -140,6 +142,8 @@
         try:
             await self.ledger.abandon(name, attempt_id, deadline_ms)
         except CinderwayError as error:
-            logger.warning("attempt %s was not abandoned: %s", attempt_id, error)
+            logger.warning(
+                "attempt %s was not marked as abandoned: %s", attempt_id, error
+            )
         finally:
             self.in_progress -= 1
--- a/src/cinderway/entry/callers/_served.py
+++ b/src/cinderway/entry/callers/_served.py
@@ -1,4 +1,4 @@
-"""What became of one request that came by the route sheet, for its log line."""
+"""What is known of one request on a sheet's route, for its log line."""
 
 from cinderway._errors import CinderwayError
 from cinderway._ids import AccountName, ServiceName
@@ -10,7 +10,7 @@
 
 
 class Served:
-    """What is known of one request so far; parts come as it is served."""
+    """Collects what the log line of one request needs, while the request is served."""
 
     def __init__(self, started_at_ms: int, attempt_header: bytes | None):
         self.started_at_ms = started_at_ms
@@ -23,23 +23,23 @@
 
     @property
     def account_name(self) -> AccountName | None:
-        """The account that the request belongs to, if any."""
+        """The client account that the request belongs to, if any."""
         return self.permit.identity.account_name if self.permit is not None else None
 
     @property
     def was_sent(self) -> bool:
-        """Whether a server may have got the request."""
+        """Whether the request may have reached a server."""
         return self.request is not None and bool(self.request.tried)
 
     @property
     def route_name(self) -> str:
-        """The route's name; NONE where no route fits."""
+        """The route's name; NONE if no route matches."""
         return self.route.name if self.route else NONE
 
     def line(
         self, outcome: str, duration_ms: int, revision: int, age_ms: int
     ) -> RequestLine:
-        """Return the request's log line, with the catalog that it was decided by."""
+        """Build the request's log line; `revision` and `age_ms` are the catalog's."""
         return RequestLine(
             name=self.attempt_id or "unnamed",
             outcome=outcome,
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -1,4 +1,4 @@
-"""Streamed answers: relayed as they come, and gone on with at another server."""
+"""Streamed answers: relayed as they arrive, and resumed at another server."""
 
 from dataclasses import dataclass
 
@@ -30,7 +30,8 @@
     ) -> None:
         """Relay one answer to its end.
 
-        Raises OutcomeError while nothing was relayed, and AnswerBrokenError after.
+        Raises OutcomeError if it fails before anything was relayed, and
+        AnswerBrokenError after that.
         """
         self.attempts.budget.earn(service)
         transfer = _Transfer(service, request, reply)
@@ -45,7 +46,7 @@
         raise AnswerBrokenError
 
     async def _attempt(self, transfer: "_Transfer", has_attempts: bool) -> bool:
-        """Relay what one server sends; False if another is to be asked instead."""
+        """Relay what one server sends; False if another server should be tried."""
         dispatcher = self.attempts.dispatcher
         async with dispatcher.exchange(
             transfer.service,
@@ -88,8 +89,8 @@
                 blocked_ms = monotonic_ms() - before_ms
                 evidence.caller_blocked(exchange.attempt, blocked_ms)
         except CinderwayError:
-            # No sign of the server's end: a download that is cut goes on elsewhere, as
-            # often as it takes.
+            # Not recorded as a sign that the server ended: a download that breaks is
+            # resumed at another server, as often as necessary.
             evidence.fail(exchange.attempt, Bad.CUT)
             raise
         finally:
@@ -110,7 +111,7 @@
 
 
 class _Transfer:
-    """One caller's answer over all the servers that it comes from."""
+    """One caller's streamed answer, over all the servers that it comes from."""
 
     def __init__(self, service: ServiceState, request: CallerRequest, reply: Reply):
         self.service = service
@@ -120,13 +121,16 @@
         self.request = request
 
     def next_request(self):
-        """Return what to ask the next server for: all, or the rest."""
+        """Return the request for the next server: for the whole body or its rest."""
         if self.download is None:
             return self.request.backend_request
         return self.download.resume_request(self.request.backend_request)
 
     def deadline_ms(self) -> int:
-        """The caller's deadline is for the first byte; later only stalls count."""
+        """Return the deadline of the next attempt.
+
+        The caller's deadline applies to the first byte; after it only stalls count.
+        """
         if self.download is None:
             return self.request.deadline_ms
         return monotonic_ms() + self.service.row.request_timeout_ms
