--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -152,7 +152,7 @@
         self.pushback.entry = self.name
         self.limits = LimitWatch(self.pushback)
 
-    def wake_waiting(self) -> None:
+    def wake_waiting_requests(self) -> None:
         """Let all requests that are waiting for a slot check again."""
         for service in self.services.values():
             service.free_slot()
@@ -165,7 +165,7 @@
             for name, server in service.servers.items()
         }
         self.limits.hear(told, listed, now_ms)
-        self.wake_waiting()
+        self.wake_waiting_requests()
 
     def use_group(self, group: EntryGroup, now_ms: int) -> None:
         """Apply the group of entries that share the servers' rate limits."""
@@ -173,7 +173,7 @@
         # All groups are about the same size, since entries choose the nearest of many
         # replicas.
         self.entry_count = max(len(group.entries) * len(group.groups), 1)
-        self.wake_waiting()
+        self.wake_waiting_requests()
 
     def refresh_from_table(self, now_ms: int) -> None:
         """Rebuild the state that is derived from the current table."""
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -44,7 +44,7 @@
 # Share of a server's weight that applies if no verdict sets another one.
 FULL_SHARE = 1.0
 # Retries that an entry without a control replica can accumulate.
-LONE_RETRIES = 1.0
+LONE_RETRY_MAXIMUM = 1.0
 
 
 @dataclass
@@ -68,25 +68,25 @@
     # unreachable.
     peers: list[Address] = field(default_factory=list)
     # Servers with a line in the last verdicts; all others are healthy.
-    _judged: set[ServerName] = field(default_factory=set)
-    _new_suspects: dict[ServerName, int] = field(default_factory=dict)
+    _servers_with_verdicts: set[ServerName] = field(default_factory=set)
+    _unreported_suspects: dict[ServerName, int] = field(default_factory=dict)
     # Servers that rejected requests of this entry, and until when to avoid each; not
     # reported yet.
-    _turned_away: dict[ServerName, int] = field(default_factory=dict)
+    _unreported_rejections: dict[ServerName, int] = field(default_factory=dict)
     turned_away: anyio.Event = field(default_factory=anyio.Event)
     # Servers whose load is to be reported to the data hall, in order of the changes.
-    _changed_loads: dict[ServerName, None] = field(default_factory=dict)
+    _unreported_loads: dict[ServerName, None] = field(default_factory=dict)
     _account_rows: list[AccountRow] | None = None
-    _routed: anyio.Event = field(default_factory=anyio.Event)
+    _routes_received: anyio.Event = field(default_factory=anyio.Event)
     _suspicions: Suspicions = field(default_factory=Suspicions)
 
     def __post_init__(self):
         self.evidence.on_alarm = self.note_alarm
         self.evidence.on_late_answer = self.note_late_answer
-        self.board.on_load = self._note_load
+        self.board.on_load = self._record_load_change
         self.board.on_turned_away = self._note_turned_away
         self.board.on_good_answer = self._suspicions.note_good
-        self.poison.on_refusal = self.board.wake_waiting
+        self.poison.on_refusal = self.board.wake_waiting_requests
 
     @property
     def is_ready(self) -> bool:
@@ -98,13 +98,13 @@
         if self.routes is not None:
             return
         with anyio.move_on_after(max(until_ms - monotonic_ms(), 0) / 1000):
-            await self._routed.wait()
+            await self._routes_received.wait()
 
     def age_ms(self, now_ms: int) -> int:
         """Return the maximum age of this entry's copy of the catalog."""
         return now_ms - self.current_at_ms
 
-    def note_activity(self) -> None:
+    def record_activity(self) -> None:
         """Wake the task that reports evidence."""
         self.activity.set()
 
@@ -112,7 +112,7 @@
         """Suspect a server that failed a request of this entry or is late with one."""
         until_ms = self._suspicions.note_alarm(server, kind, monotonic_ms())
         if until_ms is not None:
-            self._new_suspects[server] = until_ms
+            self._unreported_suspects[server] = until_ms
             self.suspect(server, until_ms)
         self.bad_news.set()
 
@@ -124,34 +124,34 @@
 
     def suspect(self, server: ServerName, until_ms: int) -> None:
         """Use a server only if no better one is free, until the given time."""
-        state = self._state_of(server)
+        state = self._find_server(server)
         if state is not None:
             state.suspect_until_ms = max(state.suspect_until_ms, until_ms)
 
     def clear(self, server: ServerName) -> None:
         """End the suspicion of a server before it expires."""
-        state = self._state_of(server)
+        state = self._find_server(server)
         if state is not None:
             state.suspect_until_ms = 0
 
-    def _state_of(self, server: ServerName) -> ServerState | None:
+    def _find_server(self, server: ServerName) -> ServerState | None:
         registered = self.mirror.servers.get(server)
         if registered is None or registered.service not in self.board.services:
             return None
         return self.board.services[registered.service].servers[server]
 
-    def _note_load(self, server: ServerName) -> None:
-        self._changed_loads[server] = None
+    def _record_load_change(self, server: ServerName) -> None:
+        self._unreported_loads[server] = None
         self.loads_changed.set()
 
     def take_loads(self, now_ms: int) -> ServerLoads:
         """Return the current loads of the servers that changed since the last call."""
-        changed, self._changed_loads = self._changed_loads, {}
+        changed, self._unreported_loads = self._unreported_loads, {}
         # An event that is not set may have waiters: it must not be replaced.
         if self.loads_changed.is_set():
             self.loads_changed = anyio.Event()
-        states = filter(None, map(self._state_of, changed))
-        return ServerLoads([_load_of(state, now_ms) for state in states])
+        states = filter(None, map(self._find_server, changed))
+        return ServerLoads([_build_server_load(state, now_ms) for state in states])
 
     def _note_turned_away(self, server: ServerName) -> None:
         """Suspect a server that rejects requests, and report it to the data hall.
@@ -165,21 +165,23 @@
         under overload the number of reports grows with the number of servers, not with
         the number of requests that they reject.
         """
-        state = self._state_of(server)
+        state = self._find_server(server)
         until_ms = monotonic_ms() + FADES_MS
         if state is None or until_ms < state.suspect_until_ms + UNDER_WAY_MS:
             return
         self.suspect(server, until_ms)
-        self._new_suspects[server] = self._turned_away[server] = until_ms
+        self._unreported_suspects[server] = self._unreported_rejections[server] = (
+            until_ms
+        )
         self.turned_away.set()
 
     def take_turned_away(self, now_ms: int) -> SuspectServers:
         """Return the servers that rejected requests since the last call."""
-        found, self._turned_away = self._turned_away, {}
+        found, self._unreported_rejections = self._unreported_rejections, {}
         # An event that is not set may have waiters: it must not be replaced.
         if self.turned_away.is_set():
             self.turned_away = anyio.Event()
-        return _suspects_of(found, now_ms)
+        return _build_suspects(found, now_ms)
 
     def follow_anew(self) -> None:
         """Prepare for another control replica.
@@ -191,12 +193,12 @@
             for name, server in service.servers.items():
                 server.fleet_in_flight = server.in_flight
                 if server.in_flight:
-                    self._note_load(name)
+                    self._record_load_change(name)
 
     def take_suspects(self, now_ms: int) -> SuspectServers:
         """Return the servers suspected here since the last call that still are."""
-        found, self._new_suspects = self._new_suspects, {}
-        return _suspects_of(found, now_ms)
+        found, self._unreported_suspects = self._unreported_suspects, {}
+        return _build_suspects(found, now_ms)
 
     def hear(self, news: Message, now_ms: int) -> None:
         """Apply a message about servers from another process of the data hall."""
@@ -221,14 +223,14 @@
     def hear_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the loads that other entries of the data hall reported."""
         for told in message.servers:
-            server = self._state_of(told.server)
+            server = self._find_server(told.server)
             if server is not None and told.load != NO_LOAD:
                 server.note_load(told.load, now_ms)
 
     def hear_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the replica's loads, including the fleet's requests in flight."""
         for told in message.servers:
-            server = self._state_of(told.server)
+            server = self._find_server(told.server)
             if server is None:
                 continue
             if told.load != NO_LOAD:
@@ -245,8 +247,8 @@
         if update.packed_sheet or self.routes is None:
             self.routes = RouteIndex(sheet)
             self._install_accounts(sheet.accounts)
-            self._routed.set()
-            self.evidence.assume_paces(_objectives_of(sheet))
+            self._routes_received.set()
+            self.evidence.assume_paces(_compute_objectives(sheet))
         self._refresh(now_ms)
         return True
 
@@ -264,14 +266,14 @@
                 pace.service, Pace(pace.usual_ms, pace.slow_ms, pace.late_ms)
             )
         lines = {line.server: line for line in verdicts.lines}
-        for name in self._judged | lines.keys():
-            server = self._state_of(name)
+        for name in self._servers_with_verdicts | lines.keys():
+            server = self._find_server(name)
             if server is not None:
                 line = lines.get(name)
                 server.is_ejected = bool(line and line.is_ejected)
                 server.share = line.share if line and line.share else FULL_SHARE
-        self._judged = set(lines)
-        self.board.wake_waiting()
+        self._servers_with_verdicts = set(lines)
+        self.board.wake_waiting_requests()
 
     def _refresh(self, now_ms: int) -> None:
         """Rebuild services and servers from the copy of the catalog."""
@@ -285,18 +287,18 @@
             for entry in sheet.services
         }
         limits = {entry.name: entry.connection_limit for entry in sheet.services}
-        server_rows = self._rows_by_service(limits)
+        server_rows = self._build_rows_by_service(limits)
         known = set(self.board.services)
         self.board.refresh_services(
             rows, lambda service: server_rows.get(service, {}), now_ms
         )
         for name in rows.keys() - known:
             self.board.services[name].budget = RetryBudget(
-                self.lone_retry_percent, initial=0, maximum=LONE_RETRIES
+                self.lone_retry_percent, initial=0, maximum=LONE_RETRY_MAXIMUM
             )
         self._refresh_warmups(now_ms)
 
-    def _rows_by_service(
+    def _build_rows_by_service(
         self, limits: dict[ServiceName, int]
     ) -> dict[ServiceName, dict[ServerName, ServerRow]]:
         rows: dict[ServiceName, dict[ServerName, ServerRow]] = {}
@@ -304,7 +306,7 @@
             limit = limits.get(server.service)
             if limit is not None:
                 of_service = rows.setdefault(server.service, {})
-                of_service[server.server_id] = _row_of(server, limit)
+                of_service[server.server_id] = _build_row(server, limit)
         return rows
 
     def _refresh_warmups(self, now_ms: int) -> None:
@@ -315,19 +317,19 @@
                     server.warm_until_ms = now_ms + warmup_ms
 
 
-def _suspects_of(until_ms: dict[ServerName, int], now_ms: int) -> SuspectServers:
+def _build_suspects(until_ms: dict[ServerName, int], now_ms: int) -> SuspectServers:
     """Return the servers that are still suspected, and for how long each."""
     left_ms = {server: at_ms - now_ms for server, at_ms in until_ms.items()}
     current = {server: ms for server, ms in left_ms.items() if ms > 0}
     return SuspectServers(list(current), list(current.values()))
 
 
-def _load_of(server: ServerState, now_ms: int) -> ServerLoad:
+def _build_server_load(server: ServerState, now_ms: int) -> ServerLoad:
     load = server.told_load_at(now_ms) if server.tells_load else NO_LOAD
     return ServerLoad(server.row.name, load, server.in_flight)
 
 
-def _objectives_of(sheet: RouteSheet) -> dict[ServiceName, int]:
+def _compute_objectives(sheet: RouteSheet) -> dict[ServiceName, int]:
     """Return each service's objective: the longest one of the routes to it."""
     objectives_ms: dict[ServiceName, int] = {}
     for route in sheet.routes:
@@ -352,7 +354,7 @@
         return self.told_id
 
 
-def _row_of(server: RegisteredServer, connection_limit: int) -> ServerRow:
+def _build_row(server: RegisteredServer, connection_limit: int) -> ServerRow:
     is_leaving = server.status is Status.LEAVING
     return _RegisteredRow(
         name=server.server_id,
--- a/src/cinderway/entry/_daemon.py
+++ b/src/cinderway/entry/_daemon.py
@@ -52,7 +52,7 @@
         reports = ReportServer(board)
         attempts = Attempts(dispatcher, metrics, settings.answer_limit_kib * 1024)
         run_once = RunOnce(settings.name, attempts, ledger, metrics, runs)
-        watch = PoisonWatch(on_refusal=board.wake_waiting)
+        watch = PoisonWatch(on_refusal=board.wake_waiting_requests)
         handler = Handler(
             settings,
             board,
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -28,7 +28,7 @@
 
     book: PushbackBook
     has_news: anyio.Event = field(default_factory=anyio.Event)
-    _changed: dict[ServerName, None] = field(default_factory=dict)
+    _unreported: dict[ServerName, None] = field(default_factory=dict)
 
     def note(
         self,
@@ -50,7 +50,7 @@
             return
         else:
             limit = RateLimit(None, now_ms)
-        self._learn(server, kept, limit, now_ms)
+        self._record(server, kept, limit, now_ms)
 
     def hear(
         self, told: ServerLimits, kept_of: dict[ServerName, ServerPushback], now_ms: int
@@ -58,11 +58,11 @@
         """Apply the limits that other processes learned of."""
         for line in told.lines:
             kept = kept_of.get(line.server) or self.book.of(line.server)
-            self._take(line.server, kept, line.limit(now_ms), now_ms)
+            self._apply(line.server, kept, line.limit(now_ms), now_ms)
 
     def take_news(self, now_ms: int) -> ServerLimits:
         """Return the limits that were learned from answers since the last call."""
-        changed, self._changed = self._changed, {}
+        changed, self._unreported = self._unreported, {}
         # An event that is not set may have waiters: it must not be replaced.
         if self.has_news.is_set():
             self.has_news = anyio.Event()
@@ -72,7 +72,7 @@
 
     def put_back(self, told: ServerLimits) -> None:
         """Queue limits again whose report could not be sent."""
-        self._changed.update((line.server, None) for line in told.lines)
+        self._unreported.update((line.server, None) for line in told.lines)
         self.has_news.set()
 
     def limits(self, now_ms: int) -> ServerLimits:
@@ -90,14 +90,14 @@
             )
         self.book.use_group(group, now_ms)
 
-    def _learn(
+    def _record(
         self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
     ) -> None:
-        if self._take(server, kept, limit, now_ms):
-            self._changed[server] = None
+        if self._apply(server, kept, limit, now_ms):
+            self._unreported[server] = None
             self.has_news.set()
 
-    def _take(
+    def _apply(
         self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
     ) -> bool:
         is_news = self.book.learn_limit(server, kept, limit, now_ms)
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -29,7 +29,7 @@
 # rate that an entry is planned to handle in future.
 ANSWERED_LIMIT = 1_024
 # Runs that wait to be reported, and items in one report; the newest are kept.
-TOLD_LIMIT = 256
+REPORT_LIMIT = 256
 
 
 @dataclass
@@ -40,17 +40,19 @@
     # Called whenever a request begins to be refused.
     on_refusal: Callable[[], None] | None = None
     has_news: anyio.Event = field(default_factory=anyio.Event)
-    _ended: deque[EndedRun] = field(default_factory=lambda: deque(maxlen=TOLD_LIMIT))
-    _good: dict[RequestDigest, None] = field(default_factory=dict)
+    _unreported_ends: deque[EndedRun] = field(
+        default_factory=lambda: deque(maxlen=REPORT_LIMIT)
+    )
+    _unreported_good: dict[RequestDigest, None] = field(default_factory=dict)
     # When each request last got a good answer here, oldest first.
     _answered_at_ms: dict[RequestDigest, int] = field(default_factory=dict)
 
-    def refusal_of(self, digest: RequestDigest) -> Ruling | None:
+    def find_refusal(self, digest: RequestDigest) -> Ruling | None:
         """Return the ruling that forbids sending a request; None if there is none."""
         ruling = self.tally.ruling_of(digest, monotonic_ms())
         return None if ruling.standing.is_sent else ruling
 
-    def may_be_repeated(self, digest: RequestDigest) -> bool:
+    def can_be_repeated(self, digest: RequestDigest) -> bool:
         """Whether this entry may send a request again that may have run already.
 
         It may not while the request is watched, so that a request that crashes servers
@@ -59,13 +61,13 @@
         standing = self.tally.standing_of(digest, monotonic_ms())
         return standing.is_sent and standing is not Standing.WATCHED
 
-    def note_broken(self, digest: RequestDigest, server: ServerName) -> None:
+    def record_broken_run(self, digest: RequestDigest, server: ServerName) -> None:
         """Record that a server ended while it was running a request."""
-        self._ended.append(EndedRun(digest, server))
-        self._note_ruling(self.tally.note_end(digest, server, monotonic_ms()))
+        self._unreported_ends.append(EndedRun(digest, server))
+        self._handle_ruling(self.tally.note_end(digest, server, monotonic_ms()))
         self.has_news.set()
 
-    def note_good(self, digest: RequestDigest) -> None:
+    def record_good_answer(self, digest: RequestDigest) -> None:
         """Record that a server gave a good answer to a request."""
         now_ms = monotonic_ms()
         self._answered_at_ms.pop(digest, None)
@@ -73,13 +75,13 @@
             self._answered_at_ms.pop(next(iter(self._answered_at_ms)))
         self._answered_at_ms[digest] = now_ms
         if self.tally.is_known(digest):
-            self._tell_good(digest, now_ms)
+            self._queue_good_answer(digest, now_ms)
 
     def take_runs(self) -> RequestRuns:
         """Return the runs to report since the last call."""
-        ended = list(self._ended)
-        self._ended.clear()
-        good, self._good = list(self._good)[-TOLD_LIMIT:], {}
+        ended = list(self._unreported_ends)
+        self._unreported_ends.clear()
+        good, self._unreported_good = list(self._unreported_good)[-REPORT_LIMIT:], {}
         # An event that is not set may have waiters: it must not be replaced.
         if self.has_news.is_set():
             self.has_news = anyio.Event()
@@ -87,29 +89,29 @@
 
     def put_back(self, runs: RequestRuns) -> None:
         """Queue runs again whose report could not be sent."""
-        since = list(self._ended)
-        self._ended.clear()
-        self._ended.extend(runs.ended + since)
-        self._good = dict.fromkeys(runs.good) | self._good
+        since = list(self._unreported_ends)
+        self._unreported_ends.clear()
+        self._unreported_ends.extend(runs.ended + since)
+        self._unreported_good = dict.fromkeys(runs.good) | self._unreported_good
         self.has_news.set()
 
     def rulings(self) -> RequestRulings:
         """Return the current rulings, for a replica that may not know them."""
         now_ms = monotonic_ms()
-        held = self.tally.rulings(now_ms)[-TOLD_LIMIT:]
+        held = self.tally.rulings(now_ms)[-REPORT_LIMIT:]
         return RequestRulings([RequestRuling.of(ruling, now_ms) for ruling in held])
 
     def hear_runs(self, runs: RequestRuns) -> None:
         """Apply the runs that another entry reported."""
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
-            self._note_ruling(ruling)
+            self._handle_ruling(ruling)
 
     def hear_rulings(self, told: RequestRulings) -> None:
         """Apply the rulings of a replica or of another entry."""
         for ruling in self.tally.learn_all(told, monotonic_ms()):
-            self._note_ruling(ruling)
+            self._handle_ruling(ruling)
 
-    def _note_ruling(self, ruling: Ruling | None) -> None:
+    def _handle_ruling(self, ruling: Ruling | None) -> None:
         """Log a new ruling, or contradict it if this entry had a good answer since."""
         if ruling is None:
             return
@@ -119,13 +121,13 @@
             # Reads that callers repeat all the time are in flight on every server that
             # ends: they would be refused together with the request that ends it.
             if answered_at_ms >= ruling.since_ms:
-                self._tell_good(ruling.digest, monotonic_ms())
+                self._queue_good_answer(ruling.digest, monotonic_ms())
                 return
         logger.info("%s", ruling)
         if not ruling.standing.is_sent and self.on_refusal is not None:
             self.on_refusal()
 
-    def _tell_good(self, digest: RequestDigest, now_ms: int) -> None:
+    def _queue_good_answer(self, digest: RequestDigest, now_ms: int) -> None:
         self.tally.note_good(digest, now_ms)
-        self._good[digest] = None
+        self._unreported_good[digest] = None
         self.has_news.set()
--- a/src/cinderway/entry/callers/_accounts.py
+++ b/src/cinderway/entry/callers/_accounts.py
@@ -15,11 +15,11 @@
 CREDENTIAL_HEADERS = frozenset({AUTHORIZATION, b"proxy-authorization"})
 SCHEME = b"bearer"
 # Shorter credentials are not keys, and occur in other headers by chance.
-LEAST_SECRET_BYTES = 8
+MIN_SECRET_BYTES = 8
 
 
 @dataclass(frozen=True)
-class Identity:
+class AccountIdentity:
     """The account that a request belongs to, if any, and the key that identifies it."""
 
     key: ApiKey | None = None
@@ -31,10 +31,10 @@
         return self.account.name if self.account is not None else None
 
 
-ANONYMOUS = Identity()
+ANONYMOUS = AccountIdentity()
 
 
-def key_of(headers: Headers) -> ApiKey | None:
+def parse_api_key(headers: Headers) -> ApiKey | None:
     """Return the API key of a request; None if it carries none or several."""
     values = [value for name, value in headers if name.lower() == AUTHORIZATION]
     if len(values) != 1:
@@ -45,9 +45,9 @@
     return ApiKey(words[1].decode("latin-1"))
 
 
-def identify(
+def identify_account(
     accounts: AccountIndex | None, route: RouteRow, headers: Headers
-) -> Identity:
+) -> AccountIdentity:
     """Return the account that a request on a route belongs to.
 
     Raises CinderwayError with ACCOUNT_UNKNOWN if the route requires an account's key
@@ -55,10 +55,10 @@
     """
     if accounts is None:
         return ANONYMOUS
-    key = key_of(headers)
+    key = parse_api_key(headers)
     account = accounts.account_of(key) if key is not None else None
     if account is not None:
-        return Identity(key, account)
+        return AccountIdentity(key, account)
     if route.is_public:
         return ANONYMOUS
     raise CinderwayError(
@@ -79,7 +79,7 @@
     kept = [pair for pair in headers if not _is_spelling_of(pair[0], account_header)]
     if accounts is None:
         return kept
-    secrets = _secrets_in(headers)
+    secrets = _get_secrets(headers)
     return [
         (name, value)
         for name, value in kept
@@ -88,11 +88,11 @@
     ]
 
 
-def _secrets_in(headers: Headers) -> set[bytes]:
+def _get_secrets(headers: Headers) -> set[bytes]:
     """Return the last word of each credential, which is the key in any scheme."""
     credentials = [v.split() for n, v in headers if n.lower() in CREDENTIAL_HEADERS]
     keys = {words[-1] for words in credentials if words}
-    return {key for key in keys if len(key) >= LEAST_SECRET_BYTES}
+    return {key for key in keys if len(key) >= MIN_SECRET_BYTES}
 
 
 def _is_spelling_of(name: bytes, header: bytes) -> bool:
--- a/src/cinderway/entry/callers/_answers.py
+++ b/src/cinderway/entry/callers/_answers.py
@@ -47,7 +47,7 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 # Errors that the same request would get again later.
-WITHOUT_RETRY = {400, UNAUTHORIZED, 404, 413, 422, 428}
+STATUSES_WITHOUT_RETRY = {400, UNAUTHORIZED, 404, 413, 422, 428}
 
 
 class Problem(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class OwnAnswer:
+class ProblemAnswer:
     """An answer that the entry itself generates."""
 
     status: int
@@ -71,11 +71,11 @@
     body: bytes
 
 
-def problem_answer(
+def build_problem_answer(
     error: CinderwayError,
     outcome: Resolution,
     retry_after_s: float | None = None,
-) -> OwnAnswer:
+) -> ProblemAnswer:
     """Build the final answer for an error.
 
     It holds the error, the step and peer at fault, whether the request ran and when to
@@ -100,9 +100,9 @@
     ]
     if status == UNAUTHORIZED:
         headers.append((b"www-authenticate", b"Bearer"))
-    if status not in WITHOUT_RETRY and outcome is not Resolution.RAN:
+    if status not in STATUSES_WITHOUT_RETRY and outcome is not Resolution.RAN:
         headers.append((b"retry-after", f"{retry_after_s:g}".encode()))
-    return OwnAnswer(status, headers, msgspec.json.encode(problem))
+    return ProblemAnswer(status, headers, msgspec.json.encode(problem))
 
 
 def _retry_after_s(error: CinderwayError) -> float:
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -3,7 +3,7 @@
 A request that may have run is sent again only if it is repeatable. Hedges and retries
 consume a retry budget and are bounded by the request's server limit; retries after a
 shed are neither, unless `pays_for_sheds` is set. A server that could not be reached got
-nothing: another one is tried without using the budget, UNREACHED_LIMIT times at most.
+nothing: another one is tried without using the budget, UNREACHABLE_LIMIT times at most.
 Nothing is sent again for a caller that has disconnected.
 """
 
@@ -15,9 +15,9 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import ServiceState
 from cinderway.entry.callers._outcomes import OutcomeError, outcome_of_attempt
-from cinderway.entry.callers._policies import hedge_after_ms
+from cinderway.entry.callers._policies import compute_hedge_delay_ms
 from cinderway.entry.callers._race import Hedge, race
-from cinderway.entry.callers._relay import WholeAnswer, read_whole
+from cinderway.entry.callers._relay import WholeAnswer, read_whole_answer
 from cinderway.entry.callers._requests import CallerRequest
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._holds import HeldBackError
@@ -25,10 +25,10 @@
 
 SERVER_ERROR = 500
 # Unreachable servers that a request may meet; at the next one it fails.
-UNREACHED_LIMIT = 3
+UNREACHABLE_LIMIT = 3
 
 
-class RetrySource(Protocol):
+class SpendableBudget(Protocol):
     """The budget that retries and hedges consume."""
 
     def earn(self, service: ServiceState) -> None:
@@ -43,7 +43,7 @@
         """
 
 
-class OwnRetries:
+class LocalRetryBudget:
     """The retry budget that each service has on this entry."""
 
     def earn(self, service: ServiceState) -> None:
@@ -66,9 +66,9 @@
     answer_limit_bytes: int
     # Whether a retry after a server shed the request consumes the budget.
     pays_for_sheds: bool = False
-    budget: RetrySource = field(default_factory=OwnRetries)
+    budget: SpendableBudget = field(default_factory=LocalRetryBudget)
 
-    async def whole_answer(
+    async def fetch_answer(
         self, service: ServiceState, request: CallerRequest, is_repeatable: bool
     ) -> WholeAnswer:
         """Return the first good answer of the servers that the request may reach.
@@ -78,27 +78,34 @@
         request.
         """
         self.budget.earn(service)
-        tries = _Tries(request)
+        history = _AttemptHistory(request)
         while True:
-            tries.rounds += 1
+            history.rounds += 1
             try:
-                answer = await self._raced(service, request, is_repeatable)
+                answer = await self._attempt_hedged(service, request, is_repeatable)
             except CinderwayError as error:
-                outcome = tries.note_failure(error)
-                if await self.may_retry(
-                    service, error, outcome, is_repeatable, tries.has_more, request
+                outcome = history.record_failure(error)
+                if await self.acquire_retry(
+                    service,
+                    error,
+                    outcome,
+                    is_repeatable,
+                    history.has_attempts_left,
+                    request,
                 ):
                     continue
-                if tries.bad_answer is not None:
-                    return tries.bad_answer
-                raise OutcomeError(error, tries.outcome) from error
+                if history.error_answer is not None:
+                    return history.error_answer
+                raise OutcomeError(error, history.outcome) from error
             if answer.status < SERVER_ERROR or not is_repeatable:
                 return answer
-            tries.note_bad_answer(answer)
-            if not tries.has_more or not await self._pay_again(service, request):
+            history.record_error_answer(answer)
+            if not history.has_attempts_left or not await self._pay_for_rerun(
+                service, request
+            ):
                 return answer
 
-    async def _one_whole(
+    async def _attempt_once(
         self,
         service: ServiceState,
         request: CallerRequest,
@@ -109,15 +116,15 @@
             request.backend_request,
             request.attempt_id or self.dispatcher.new_attempt_id(),
             request.deadline_ms,
-            exclude=request.tried,
+            exclude=request.tried_servers,
             is_repeatable=is_repeatable,
             penalties=request.penalties,
             # A second attempt is not refused for a long queue: the first one may have
             # used up the time until the objective.
-            objective_at_ms=None if request.tried else request.objective_at_ms,
+            objective_at_ms=None if request.tried_servers else request.objective_at_ms,
             permit=request.permit,
         ) as exchange:
-            answer = await read_whole(
+            answer = await read_whole_answer(
                 self.dispatcher,
                 exchange,
                 self.answer_limit_bytes,
@@ -128,21 +135,21 @@
                 request.permit.note_good_run()
             return answer
 
-    async def _raced(
+    async def _attempt_hedged(
         self,
         service: ServiceState,
         request: CallerRequest,
         is_repeatable: bool,
     ) -> WholeAnswer:
         async def attempt() -> WholeAnswer:
-            return await self._one_whole(service, request, is_repeatable)
+            return await self._attempt_once(service, request, is_repeatable)
 
-        may_reach_more = len(request.tried) + 1 < request.server_limit
+        may_reach_more = len(request.tried_servers) + 1 < request.server_limit
         if not is_repeatable or not may_reach_more:
             return await attempt()
 
         pace = self.dispatcher.evidence.pace(service.row.name)
-        after_ms = hedge_after_ms(pace, request.objective_ms)
+        delay_ms = compute_hedge_delay_ms(pace, request.objective_ms)
         until_ms = self._retry_until_ms(service, request)
 
         async def may_hedge() -> bool:
@@ -155,10 +162,10 @@
             self.metrics.count("hedges_total", {"service": service.row.name})
             return True
 
-        hedge = Hedge(monotonic_ms() + after_ms, until_ms, may_hedge)
+        hedge = Hedge(monotonic_ms() + delay_ms, until_ms, may_hedge)
         return await race(attempt, hedge)
 
-    async def may_retry(
+    async def acquire_retry(
         self,
         service: ServiceState,
         error: CinderwayError,
@@ -170,7 +177,7 @@
         """Decide whether to retry a failed attempt; consume the budget if so."""
         if isinstance(error, HeldBackError):
             # No server got it, and the wait for a slot that follows limits the rate.
-            return request.permit.holds and not request.caller_left.is_set()
+            return request.permit.holds and not request.caller_disconnected.is_set()
         if error.step in (Step.QUEUE, Step.ROUTE):
             return False
         if error.code is ErrorCode.BACKEND_SHED and not self.pays_for_sheds:
@@ -185,14 +192,20 @@
         if not has_attempts:
             return False
         if outcome is Resolution.NOT_RUN:
-            return await self.spend(service, request)
-        return await self._pay_again(service, request)
+            return await self.consume_retry(service, request)
+        return await self._pay_for_rerun(service, request)
 
-    async def _pay_again(self, service: ServiceState, request: CallerRequest) -> bool:
+    async def _pay_for_rerun(
+        self, service: ServiceState, request: CallerRequest
+    ) -> bool:
         """Consume a retry and renew the permit, for a request that may have run."""
-        return await self.spend(service, request) and await request.permit.renew()
+        return (
+            await self.consume_retry(service, request) and await request.permit.renew()
+        )
 
-    async def spend(self, service: ServiceState, request: CallerRequest) -> bool:
+    async def consume_retry(
+        self, service: ServiceState, request: CallerRequest
+    ) -> bool:
         """Consume a retry from the service's budget; False if none is left."""
         until_ms = self._retry_until_ms(service, request)
         if not await self.budget.spend(service, until_ms=until_ms):
@@ -207,26 +220,26 @@
 
 
 @dataclass
-class _Tries:
+class _AttemptHistory:
     """The attempts at one request so far."""
 
     request: CallerRequest
     rounds: int = 0
-    unreached: int = 0
+    unreachable_count: int = 0
     may_have_run: bool = False
-    bad_answer: WholeAnswer | None = None
+    error_answer: WholeAnswer | None = None
 
-    def note_failure(self, error: CinderwayError) -> Resolution:
+    def record_failure(self, error: CinderwayError) -> Resolution:
         """Record an attempt without an answer; return the outcome of that attempt."""
         outcome = outcome_of_attempt(error)
         self.may_have_run = self.may_have_run or outcome is not Resolution.NOT_RUN
-        self.unreached += error.step is Step.CONNECT
+        self.unreachable_count += error.step is Step.CONNECT
         self.rounds -= isinstance(error, HeldBackError)
         return outcome
 
-    def note_bad_answer(self, answer: WholeAnswer) -> None:
+    def record_error_answer(self, answer: WholeAnswer) -> None:
         """Record a server's answer of 5xx."""
-        self.bad_answer = answer
+        self.error_answer = answer
         self.may_have_run = True
 
     @property
@@ -235,11 +248,16 @@
         return Resolution.UNKNOWN if self.may_have_run else Resolution.NOT_RUN
 
     @property
-    def has_more(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Whether the request may be sent to another server."""
-        if self.request.caller_left.is_set() or self.unreached > UNREACHED_LIMIT:
+        if (
+            self.request.caller_disconnected.is_set()
+            or self.unreachable_count > UNREACHABLE_LIMIT
+        ):
             return False
         if not self.request.permit.holds:
             return False
-        reached = max(self.rounds, len(self.request.tried)) - self.unreached
+        reached = (
+            max(self.rounds, len(self.request.tried_servers)) - self.unreachable_count
+        )
         return reached < self.request.server_limit
--- a/src/cinderway/entry/callers/_claims.py
+++ b/src/cinderway/entry/callers/_claims.py
@@ -5,7 +5,11 @@
 from cinderway._clock import monotonic_ms
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import AttemptId, EntryName
-from cinderway.entry.callers._requests import KEY_HEADER, CallerRequest, fingerprint_of
+from cinderway.entry.callers._requests import (
+    KEY_HEADER,
+    CallerRequest,
+    compute_fingerprint,
+)
 from cinderway.ledger import (
     NO_ANSWER,
     Claim,
@@ -35,13 +39,13 @@
 
 
 @dataclass(frozen=True)
-class Resent:
+class Replayed:
     """The request ran before; its stored answer is returned."""
 
     answer: StoredAnswer
 
 
-def claim_name_of(request: CallerRequest, service: ServiceRow) -> ClaimName:
+def get_claim_name(request: CallerRequest, service: ServiceRow) -> ClaimName:
     """Return the name that identifies a run-once request in the whole fleet."""
     key = request.header(KEY_HEADER).decode("latin-1")
     return ClaimName(service.name, request.caller, key)
@@ -53,38 +57,40 @@
     service: ServiceRow,
     attempt_id: AttemptId,
     entry: EntryName,
-) -> Granted | Resent:
+) -> Granted | Replayed:
     """Claim a request; if another attempt is running it, wait for that one to end.
 
     Raises CinderwayError, whose code determines the outcome: see `outcome_of`.
     """
-    name = claim_name_of(request, service)
+    name = get_claim_name(request, service)
     while True:
         now_ms = monotonic_ms()
-        asked = Claim(
+        claim_request = Claim(
             name=name,
-            fingerprint=fingerprint_of(request),
+            fingerprint=compute_fingerprint(request),
             attempt_id=attempt_id,
             entry=entry,
             run_ms=max(request.deadline_ms - now_ms, 1),
             retention_ms=service.claim_retention_s * 1000,
         )
         share_ms = (request.deadline_ms - now_ms) * CLAIM_TIME_SHARE
-        answer = await _ask(ledger, asked, now_ms + round(share_ms))
+        answer = await _ask(ledger, claim_request, now_ms + round(share_ms))
         match answer:
             case ClaimAnswer(ruling=Ruling.GRANTED):
                 return Granted(name, attempt_id)
             case ClaimAnswer(ruling=Ruling.RAN, answer=stored):
-                return _resent(stored)
+                return _build_replay(stored)
             case ClaimAnswer(ruling=Ruling.RUNNING):
-                await _await_running(ledger, name, request.deadline_ms)
+                await _wait_for_running_attempt(ledger, name, request.deadline_ms)
             case ClaimAnswer(ruling=ruling):
-                raise _ruled_out(ruling)
+                raise _build_ruling_error(ruling)
 
 
-async def _ask(ledger: LedgerClient, asked: Claim, deadline_ms: int) -> ClaimAnswer:
+async def _ask(
+    ledger: LedgerClient, claim_request: Claim, deadline_ms: int
+) -> ClaimAnswer:
     try:
-        return await ledger.claim(asked, deadline_ms)
+        return await ledger.claim(claim_request, deadline_ms)
     except CinderwayError as error:
         raise CinderwayError(
             ErrorCode.NO_QUORUM,
@@ -94,7 +100,7 @@
         ) from error
 
 
-async def record(
+async def record_outcome(
     ledger: LedgerClient,
     granted: Granted,
     resolution: Resolution,
@@ -116,28 +122,28 @@
             return Resolution.NOT_RUN
 
 
-def _resent(stored: StoredAnswer) -> Resent:
+def _build_replay(stored: StoredAnswer) -> Replayed:
     if not stored.is_whole:
         raise CinderwayError(
             ErrorCode.ANSWER_NOT_KEPT,
             "the request ran; its answer was too large to keep",
             step=Step.CLAIM,
         )
-    return Resent(stored)
+    return Replayed(stored)
 
 
-async def _await_running(
+async def _wait_for_running_attempt(
     ledger: LedgerClient, name: ClaimName, deadline_ms: int
 ) -> None:
     try:
         answer = await ledger.await_claim(name, deadline_ms)
     except CinderwayError as error:
-        raise _still_running() from error
+        raise _build_still_running_error() from error
     if answer.ruling is Ruling.RUNNING:
-        raise _still_running()
+        raise _build_still_running_error()
 
 
-def _still_running() -> CinderwayError:
+def _build_still_running_error() -> CinderwayError:
     return CinderwayError(
         ErrorCode.CLAIM_RUNNING,
         "another attempt at this request is still running",
@@ -145,7 +151,7 @@
     )
 
 
-def _ruled_out(ruling: Ruling) -> CinderwayError:
+def _build_ruling_error(ruling: Ruling) -> CinderwayError:
     match ruling:
         case Ruling.IN_DOUBT:
             return CinderwayError(
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -16,7 +16,7 @@
 from cinderway._settings import EntrySettings
 from cinderway.entry._blackboard import Blackboard, ServiceState
 from cinderway.entry._poison_watch import PoisonWatch
-from cinderway.entry.callers._answers import problem_answer
+from cinderway.entry.callers._answers import build_problem_answer
 from cinderway.entry.callers._attempts import Attempts
 from cinderway.entry.callers._outcomes import (
     AnswerBrokenError,
@@ -28,15 +28,15 @@
 from cinderway.entry.callers._requests import (
     KEY_HEADER,
     KEY_LIMIT_BYTES,
-    CallerLeftError,
+    CallerDisconnectedError,
     CallerRequest,
     Repeatability,
-    backend_request_of,
-    caller_of,
-    deadline_of,
-    digest_of,
+    build_backend_request,
+    compute_deadline,
+    compute_digest,
+    get_caller_name,
+    get_repeatability,
     read_body,
-    repeatability_of,
 )
 from cinderway.entry.callers._run_once import RunOnce
 from cinderway.entry.callers._stream import Streams
@@ -81,16 +81,16 @@
             match = self._match(scope)
             service = match.service.name
             await self._serve(match, scope, receive, reply)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             reply.outcome = "caller-left"
         except RefusedError as error:
-            await reply.own(
-                problem_answer(error, Resolution.NOT_RUN, error.retry_after_s)
+            await reply.send_problem(
+                build_problem_answer(error, Resolution.NOT_RUN, error.retry_after_s)
             )
         except OutcomeError as error:
-            await reply.own(problem_answer(error.error, error.outcome))
+            await reply.send_problem(build_problem_answer(error.error, error.outcome))
         except CinderwayError as error:
-            await reply.own(problem_answer(error, Resolution.NOT_RUN))
+            await reply.send_problem(build_problem_answer(error, Resolution.NOT_RUN))
         except AnswerBrokenError:
             # Raised to uvicorn, which then closes the connection, so that the caller
             # sees that the body is incomplete.
@@ -123,9 +123,9 @@
     ) -> None:
         service = self.board.services[match.service.name]
         caller_header = self.settings.caller_header.lower().encode()
-        caller = caller_of(scope, caller_header)
+        caller = get_caller_name(scope, caller_header)
         now_ms = monotonic_ms()
-        deadline_ms = deadline_of(scope, service.row.request_timeout_ms, now_ms)
+        deadline_ms = compute_deadline(scope, service.row.request_timeout_ms, now_ms)
         self._admit(service, caller, deadline_ms - now_ms)
         service.admission.enter(caller)
         try:
@@ -140,13 +140,13 @@
                 caller=caller,
                 deadline_ms=deadline_ms,
                 body=body,
-                backend_request=backend_request_of(scope, body),
+                backend_request=build_backend_request(scope, body),
                 permit=permit,
             )
-            permit.digest = await digest_of(request, self.digests)
+            permit.digest = await compute_digest(request, self.digests)
             # Checked before a run-once request is claimed, since a refused one does not
             # run here.
-            permit.require()
+            permit.raise_if_refused()
             await self._serve_by_kind(match, service, request, receive, reply)
         finally:
             service.admission.leave(caller)
@@ -171,7 +171,7 @@
         receive: Receive,
         reply: Reply,
     ) -> None:
-        match repeatability_of(request, match):
+        match get_repeatability(request, match):
             case Repeatability.RUN_ONCE:
                 _check_key(request)
                 await self.run_once.serve(service, request, reply)
@@ -197,7 +197,7 @@
     ) -> None:
         failure: Exception | None = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_caller_leaves, receive, tasks.cancel_scope)
+            tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
             try:
                 if service.row.answer_mode is AnswerMode.STREAM:
                     await self.streams.serve(service, request, reply)
@@ -216,8 +216,8 @@
         reply: Reply,
         is_repeatable: bool,
     ) -> None:
-        answer = await self.attempts.whole_answer(service, request, is_repeatable)
-        await reply.whole(answer)
+        answer = await self.attempts.fetch_answer(service, request, is_repeatable)
+        await reply.send_answer(answer)
 
     # Counters.
 
@@ -245,9 +245,7 @@
         )
 
 
-async def _cancel_when_caller_leaves(
-    receive: Receive, scope: anyio.CancelScope
-) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/src/cinderway/entry/callers/_permits.py
+++ b/src/cinderway/entry/callers/_permits.py
@@ -9,7 +9,11 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway.catalog import AccountRow, RouteRow
 from cinderway.entry._catalog_board import CatalogBoard
-from cinderway.entry.callers._accounts import ANONYMOUS, Identity, identify
+from cinderway.entry.callers._accounts import (
+    ANONYMOUS,
+    AccountIdentity,
+    identify_account,
+)
 from cinderway.entry.callers._poison_permit import PoisonPermit
 from cinderway.entry.fleet._allowances import AllowanceError, Allowances
 from cinderway.entry.servers._messages import Headers
@@ -25,12 +29,12 @@
     state: CatalogBoard
     allowances: Allowances
     headers: Headers
-    identity: Identity = ANONYMOUS
+    identity: AccountIdentity = ANONYMOUS
     _route: RouteRow | None = None
     # The account whose token the request holds.
-    _paid: AccountRow | None = None
+    _charged_account: AccountRow | None = None
 
-    async def take(self, route: RouteRow) -> None:
+    async def acquire(self, route: RouteRow) -> None:
         """Look up the key for a route, and acquire a token if the request has none.
 
         Raises CinderwayError with ACCOUNT_UNKNOWN if the route requires an account and
@@ -38,20 +42,20 @@
         """
         self._route = route
         self.origin = route.name
-        self.identity = identify(self.state.accounts, route, self.headers)
+        self.identity = identify_account(self.state.accounts, route, self.headers)
         account = self.identity.account
-        if self._paid is not None and (
-            account is None or account.name != self._paid.name
+        if self._charged_account is not None and (
+            account is None or account.name != self._charged_account.name
         ):
-            self.give_back()
-        if account is not None and self._paid is None:
+            self.release()
+        if account is not None and self._charged_account is None:
             await self.allowances.take(account)
-            self._paid = account
+            self._charged_account = account
 
     def refusal(self) -> CinderwayError | None:
         """Return why the request may not be sent, or no longer; None if it may."""
         refusal = super().refusal()
-        if refusal is not None or self._is_key_the_same():
+        if refusal is not None or self._has_same_account():
             return refusal
         return CinderwayError(
             ErrorCode.ACCOUNT_UNKNOWN,
@@ -59,9 +63,9 @@
             step=Step.QUEUE,
         )
 
-    def _is_key_the_same(self) -> bool:
+    def _has_same_account(self) -> bool:
         try:
-            known = identify(self.state.accounts, self._route, self.headers)
+            known = identify_account(self.state.accounts, self._route, self.headers)
         except CinderwayError:
             return False
         return known.account_name == self.identity.account_name
@@ -78,8 +82,8 @@
             return False
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return the token of a request that no server got, if it holds one."""
-        paid, self._paid = self._paid, None
-        if paid is not None:
-            self.allowances.give_back(paid)
+        charged, self._charged_account = self._charged_account, None
+        if charged is not None:
+            self.allowances.give_back(charged)
--- a/src/cinderway/entry/callers/_poison_permit.py
+++ b/src/cinderway/entry/callers/_poison_permit.py
@@ -47,10 +47,10 @@
 
     def refusal(self) -> CinderwayError | None:
         """Return why the request may not be sent, or no longer; None if it may."""
-        ruling = self.watch.refusal_of(self.digest)
+        ruling = self.watch.find_refusal(self.digest)
         return None if ruling is None else PoisonError(ruling, monotonic_ms())
 
-    def require(self) -> None:
+    def raise_if_refused(self) -> None:
         """Raise the refusal, if there is one."""
         refusal = self.refusal()
         if refusal is not None:
@@ -58,11 +58,11 @@
 
     async def renew(self) -> bool:
         """Return whether the request can be sent again after it may have run."""
-        return self.holds and self.watch.may_be_repeated(self.digest)
+        return self.holds and self.watch.can_be_repeated(self.digest)
 
     def note_broken_run(self, server: ServerName, run_ms: int) -> None:
         """Record that a server's connection broke while it was running the request."""
-        self.watch.note_broken(self.digest, server)
+        self.watch.record_broken_run(self.digest, server)
         self.metrics.count("runs_broken_total", {"route": self.origin})
         logger.info(
             "a run of request %s broke off at %s after %d ms; digest %s",
@@ -74,4 +74,4 @@
 
     def note_good_run(self) -> None:
         """Record that a server answered the request well and thus did not end."""
-        self.watch.note_good(self.digest)
+        self.watch.record_good_answer(self.digest)
--- a/src/cinderway/entry/callers/_policies.py
+++ b/src/cinderway/entry/callers/_policies.py
@@ -23,7 +23,7 @@
 DOWNLOAD_PENALTIES = Penalties(other_hall=4.0, suspect=3.0)
 
 
-def hedge_after_ms(pace: Pace, objective_ms: int) -> float:
+def compute_hedge_delay_ms(pace: Pace, objective_ms: int) -> float:
     """Return the delay after which a repeatable request is hedged to a second server.
 
     Nine tenths of the answers arrive sooner, so that few hedges are wasted. If those
@@ -36,7 +36,7 @@
     return min(pace.slow_ms, latest_ms)
 
 
-def retry_after_s(code: ErrorCode, spread: float) -> float:
+def compute_retry_after_s(code: ErrorCode, spread: float) -> float:
     """Return after how long a refused caller should retry; `spread` is from 0 to 1."""
     if code is ErrorCode.BACKEND_SHED:
         after_s = SHED_RETRY_AFTER_MINIMUM_S + SHED_RETRY_AFTER_SPREAD_S * spread
@@ -45,7 +45,7 @@
     return round(after_s, 2)
 
 
-def penalties_of(kind: RouteKind) -> Penalties:
+def get_penalties(kind: RouteKind) -> Penalties:
     """Return the penalties for choosing a server for requests of a route."""
     match kind:
         case RouteKind.DOWNLOAD:
--- a/src/cinderway/entry/callers/_race.py
+++ b/src/cinderway/entry/callers/_race.py
@@ -14,7 +14,7 @@
 SERVER_ERROR = 500
 # Interval of asking again for a hedge that was refused. The budget that hedges consume
 # gains one every few tenths of a second.
-ASK_AGAIN_MS = 150
+HEDGE_RETRY_INTERVAL_MS = 150
 
 AttemptRunner = Callable[[], Awaitable[WholeAnswer]]
 
@@ -37,7 +37,7 @@
         """Wait until the race is settled."""
         await self._settled.wait()
 
-    def enter(self) -> None:
+    def count_started(self) -> None:
         """Count an attempt as running; to be called before its task starts."""
         self._running += 1
 
@@ -79,34 +79,34 @@
 
 async def race(attempt: AttemptRunner, hedge: Hedge) -> WholeAnswer:
     """Run an attempt, and a second one alongside it if there is no answer in time."""
-    runners = Race()
+    attempts = Race()
     async with anyio.create_task_group() as tasks:
-        runners.enter()
-        tasks.start_soon(runners.run, attempt)
-        if await _wait_to_hedge(runners, hedge):
-            runners.enter()
-            tasks.start_soon(runners.run, attempt)
-        await runners.wait()
+        attempts.count_started()
+        tasks.start_soon(attempts.run, attempt)
+        if await _wait_to_hedge(attempts, hedge):
+            attempts.count_started()
+            tasks.start_soon(attempts.run, attempt)
+        await attempts.wait()
         tasks.cancel_scope.cancel()
-    return runners.result()
+    return attempts.result()
 
 
-async def _wait_to_hedge(runners: Race, hedge: Hedge) -> bool:
+async def _wait_to_hedge(attempts: Race, hedge: Hedge) -> bool:
     """Wait until a second attempt should start; False if none should."""
-    look_at_ms = hedge.from_ms
+    check_at_ms = hedge.from_ms
     while True:
-        with anyio.move_on_after(max(look_at_ms - monotonic_ms(), 0) / 1000):
-            await runners.wait()
-        if runners.is_settled:
+        with anyio.move_on_after(max(check_at_ms - monotonic_ms(), 0) / 1000):
+            await attempts.wait()
+        if attempts.is_settled:
             return False
-        if await _is_allowed(runners, hedge):
-            return not runners.is_settled
-        look_at_ms = monotonic_ms() + ASK_AGAIN_MS
-        if look_at_ms >= hedge.until_ms:
+        if await _is_allowed(attempts, hedge):
+            return not attempts.is_settled
+        check_at_ms = monotonic_ms() + HEDGE_RETRY_INTERVAL_MS
+        if check_at_ms >= hedge.until_ms:
             return False
 
 
-async def _is_allowed(runners: Race, hedge: Hedge) -> bool:
+async def _is_allowed(attempts: Race, hedge: Hedge) -> bool:
     """Ask whether to hedge, but stop asking when the race is settled."""
     is_allowed = False
     async with anyio.create_task_group() as tasks:
@@ -117,6 +117,6 @@
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(ask)
-        await runners.wait()
+        await attempts.wait()
         tasks.cancel_scope.cancel()
     return is_allowed
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -7,7 +7,7 @@
 
 from cinderway._clock import monotonic_ms
 from cinderway._errors import CinderwayError, ErrorCode, Step
-from cinderway.entry.callers._requests import find_header, forwarded
+from cinderway.entry.callers._requests import find_header, select_forwarded_headers
 from cinderway.entry.servers._dispatch import Dispatcher, Exchange
 from cinderway.entry.servers._messages import (
     BackendAnswer,
@@ -35,7 +35,7 @@
     announced_length: bytes | None = None
 
 
-async def read_whole(
+async def read_whole_answer(
     dispatcher: Dispatcher, exchange: Exchange, limit_bytes: int, deadline_ms: int
 ) -> WholeAnswer:
     """Read an answer to its end; raises CinderwayError if it breaks or is too large."""
@@ -48,13 +48,15 @@
                 parts.append(chunk)
                 size_bytes += len(chunk)
                 if size_bytes > limit_bytes:
-                    raise _too_large(exchange, limit_bytes)
+                    raise _build_too_large_error(exchange, limit_bytes)
                 dispatcher.evidence.progress(
                     exchange.attempt, len(chunk), monotonic_ms()
                 )
     except TimeoutError as error:
         dispatcher.evidence.fail(exchange.attempt, Bad.OVERDUE)
-        raise _cut(exchange, "the body did not end before the deadline") from error
+        raise _build_cut_error(
+            exchange, "the body did not end before the deadline"
+        ) from error
     except CinderwayError as error:
         if error.code is ErrorCode.ANSWER_CUT_SHORT:
             dispatcher.evidence.fail(exchange.attempt, Bad.CUT)
@@ -73,7 +75,7 @@
     Retry-After in an answer of 503 is addressed to this entry, not to the caller:
     another server may accept the request at once.
     """
-    headers = forwarded(_lower(answer.headers), answer.names)
+    headers = select_forwarded_headers(_lowercase_names(answer.headers), answer.names)
     if answer.status != UNAVAILABLE:
         return headers
     return [(name, value) for name, value in headers if name != RETRY_AFTER]
@@ -85,7 +87,9 @@
         with anyio.fail_after(stall_timeout_ms / 1000):
             return await anext(chunks, None)
     except TimeoutError as error:
-        raise _cut(exchange, f"no progress for {stall_timeout_ms} ms") from error
+        raise _build_cut_error(
+            exchange, f"no progress for {stall_timeout_ms} ms"
+        ) from error
 
 
 class Download:
@@ -96,7 +100,7 @@
     """
 
     def __init__(self, answer: BackendAnswer):
-        self.etag = find_header(_lower(answer.headers), b"etag")
+        self.etag = find_header(_lowercase_names(answer.headers), b"etag")
         self.status = answer.status
         self.sent_bytes = 0
         self._first_byte, self._last_byte = _byte_range(answer)
@@ -111,7 +115,7 @@
             and self._last_byte is not None
         )
 
-    def resume_request(self, request: BackendRequest) -> BackendRequest:
+    def build_resume_request(self, request: BackendRequest) -> BackendRequest:
         """Build the request for the rest of the body."""
         kept = [
             (name, value)
@@ -122,9 +126,9 @@
         headers = [*kept, (b"range", wanted), (b"if-range", self.etag)]
         return BackendRequest(request.method, request.target, headers, request.body)
 
-    def fits(self, answer: BackendAnswer) -> bool:
+    def can_continue_with(self, answer: BackendAnswer) -> bool:
         """Whether an answer holds exactly the rest of the same body."""
-        etag = find_header(_lower(answer.headers), b"etag")
+        etag = find_header(_lowercase_names(answer.headers), b"etag")
         first_byte, last_byte = _byte_range(answer)
         return (
             answer.status == PARTIAL_CONTENT
@@ -149,11 +153,11 @@
     return 0, None
 
 
-def _lower(headers: Headers) -> Headers:
+def _lowercase_names(headers: Headers) -> Headers:
     return [(name.lower(), value) for name, value in headers]
 
 
-def _cut(exchange: Exchange, detail: str) -> CinderwayError:
+def _build_cut_error(exchange: Exchange, detail: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.ANSWER_CUT_SHORT,
         detail,
@@ -162,7 +166,7 @@
     )
 
 
-def _too_large(exchange: Exchange, limit_bytes: int) -> CinderwayError:
+def _build_too_large_error(exchange: Exchange, limit_bytes: int) -> CinderwayError:
     return CinderwayError(
         ErrorCode.BACKEND_FAILED,
         f"the answer is over {limit_bytes} bytes; the service must stream it",
--- a/src/cinderway/entry/callers/_reply.py
+++ b/src/cinderway/entry/callers/_reply.py
@@ -4,7 +4,7 @@
 
 from cinderway._clock import monotonic_ms
 from cinderway.entry._blackboard import Blackboard
-from cinderway.entry.callers._answers import OUTCOME_HEADER, OwnAnswer
+from cinderway.entry.callers._answers import OUTCOME_HEADER, ProblemAnswer
 from cinderway.entry.callers._relay import WholeAnswer, headers_for_caller
 from cinderway.entry.servers._messages import (
     BackendAnswer,
@@ -15,7 +15,7 @@
 Send = Callable[[dict], Awaitable[None]]
 
 SERVER_ERROR = 500
-WITHOUT_BODY = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class Reply:
@@ -28,21 +28,21 @@
         self.first_byte_ms: int | None = None
         self.outcome = "broken"
 
-    async def own(self, answer: OwnAnswer) -> None:
+    async def send_problem(self, answer: ProblemAnswer) -> None:
         """Send an answer that the entry itself generated."""
         length = (b"content-length", b"%d" % len(answer.body))
         await self._start(answer.status, [*answer.headers, length])
         await self._send({"type": "http.response.body", "body": answer.body})
         self.outcome = "failed" if answer.status >= SERVER_ERROR else "refused"
 
-    async def whole(
+    async def send_answer(
         self, answer: WholeAnswer, outcome: Resolution | None = None
     ) -> None:
         """Send an answer that was read to its end."""
         headers = list(answer.headers)
         if answer.announced_length is not None:
             headers.append((b"content-length", answer.announced_length))
-        elif answer.status not in WITHOUT_BODY:
+        elif answer.status not in STATUSES_WITHOUT_BODY:
             headers.append((b"content-length", b"%d" % len(answer.body)))
         if outcome is not None:
             headers.append((OUTCOME_HEADER, outcome.value.encode()))
@@ -50,7 +50,7 @@
         await self._send({"type": "http.response.body", "body": answer.body})
         self.outcome = "failed" if answer.status >= SERVER_ERROR else "answered"
 
-    async def begin(self, answer: BackendAnswer) -> None:
+    async def send_head(self, answer: BackendAnswer) -> None:
         """Send the head of a streamed answer."""
         headers = headers_for_caller(answer)
         length = answer.header(b"content-length")
@@ -58,12 +58,12 @@
             headers.append((b"content-length", length))
         await self._start(answer.status, headers)
 
-    async def part(self, chunk: bytes) -> None:
+    async def send_chunk(self, chunk: bytes) -> None:
         """Send a chunk of a streamed answer."""
         message = {"type": "http.response.body", "body": chunk, "more_body": True}
         await self._send(message)
 
-    async def end(self) -> None:
+    async def send_end(self) -> None:
         """End a streamed answer."""
         await self._send({"type": "http.response.body", "body": b""})
         self.outcome = "answered"
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -73,15 +73,15 @@
     backend_request: BackendRequest
     # The id that the caller gave this attempt, if any.
     attempt_id: AttemptId | None = None
-    # How many servers it may be sent to; those it was sent to are in `tried`.
+    # How many servers it may be sent to; those that got it are in `tried_servers`.
     server_limit: int = ATTEMPT_LIMIT
     # The latency objective, counted from the request's arrival; 0 if unknown.
     objective_ms: int = 0
     # When the latency objective is missed; None if the request is not judged by it.
     objective_at_ms: int | None = None
-    tried: set[ServerName] = field(default_factory=set)
+    tried_servers: set[ServerName] = field(default_factory=set)
     # Set when the caller has disconnected although an attempt still runs to its end.
-    caller_left: anyio.Event = field(default_factory=anyio.Event)
+    caller_disconnected: anyio.Event = field(default_factory=anyio.Event)
     # Decides whether the request may be sent, and sent again.
     permit: Permit = UNLIMITED
     # Penalties by which servers are compared when one is chosen for the request.
@@ -100,7 +100,7 @@
     return None
 
 
-def repeatability_of(request: CallerRequest, match: RouteMatch) -> Repeatability:
+def get_repeatability(request: CallerRequest, match: RouteMatch) -> Repeatability:
     """Return how often a request may be sent to backend servers."""
     if match.is_run_once:
         if request.header(KEY_HEADER) is not None:
@@ -111,7 +111,7 @@
     return Repeatability.SINGLE
 
 
-def caller_of(scope: dict, caller_header: bytes) -> CallerName:
+def get_caller_name(scope: dict, caller_header: bytes) -> CallerName:
     """Return the caller's name: the caller header, or else its IP address."""
     named = find_header(scope["headers"], caller_header)
     if named is not None:
@@ -120,7 +120,7 @@
     return CallerName(client[0])
 
 
-def deadline_of(scope: dict, timeout_ms: int, now_ms: int) -> int:
+def compute_deadline(scope: dict, timeout_ms: int, now_ms: int) -> int:
     """Return the deadline: the earlier one of the caller's and the service's."""
     text = find_header(scope["headers"], DEADLINE_HEADER)
     if text is not None and text.isdigit():
@@ -128,14 +128,16 @@
     return now_ms + timeout_ms
 
 
-def fingerprint_of(request: CallerRequest) -> bytes:
+def compute_fingerprint(request: CallerRequest) -> bytes:
     """Return a digest that differs between different requests with the same key."""
     target = request.backend_request.target
     parts = (request.method.encode(), target, request.body)
     return xxhash.xxh3_128_digest(b"\0".join(parts))
 
 
-async def digest_of(request: CallerRequest, digests: RequestDigests) -> RequestDigest:
+async def compute_digest(
+    request: CallerRequest, digests: RequestDigests
+) -> RequestDigest:
     """Return a digest that all repeats of a request share, at every entry."""
     sent = request.backend_request
     # Callers without a name are told apart by the credentials of their requests.
@@ -147,7 +149,7 @@
     return await anyio.to_thread.run_sync(digests.of, *parts)
 
 
-def backend_request_of(
+def build_backend_request(
     scope: dict,
     body: bytes,
     names: HeaderNames = OWN_NAMES,
@@ -165,7 +167,7 @@
     # The attempt id is added separately for each attempt.
     headers = [
         (name, value)
-        for name, value in forwarded(
+        for name, value in select_forwarded_headers(
             scope["headers"] if caller_headers is None else caller_headers, names
         )
         if name != names.attempt
@@ -179,7 +181,9 @@
     return BackendRequest(scope["method"].encode(), target, headers, body)
 
 
-def forwarded(headers: Headers, names: HeaderNames = OWN_NAMES) -> Headers:
+def select_forwarded_headers(
+    headers: Headers, names: HeaderNames = OWN_NAMES
+) -> Headers:
     """Return the headers that are forwarded to the other side."""
     own = {names.deadline, names.expected, names.not_run, names.load, names.leaving}
     named = find_header(headers, b"connection") or b""
@@ -198,13 +202,13 @@
     """Read a request's whole body.
 
     Raises CinderwayError with REQUEST_TOO_LARGE if it exceeds the limit, and
-    CallerLeftError if the caller disconnects before its end.
+    CallerDisconnectedError if the caller disconnects before its end.
     """
     body = await whole_body(receive, limit_bytes)
     if body is None:
-        raise CallerLeftError
+        raise CallerDisconnectedError
     return body
 
 
-class CallerLeftError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before it received an answer."""
--- a/src/cinderway/entry/callers/_route_handler.py
+++ b/src/cinderway/entry/callers/_route_handler.py
@@ -21,21 +21,21 @@
 from cinderway.catalog import RouteRow, pick_service
 from cinderway.entry._catalog_board import CatalogBoard
 from cinderway.entry.callers._accounts import headers_for_servers
-from cinderway.entry.callers._answers import problem_answer
+from cinderway.entry.callers._answers import build_problem_answer
 from cinderway.entry.callers._attempts import Attempts
 from cinderway.entry.callers._outcomes import OutcomeError
 from cinderway.entry.callers._permits import RequestPermit
-from cinderway.entry.callers._policies import penalties_of, retry_after_s
+from cinderway.entry.callers._policies import compute_retry_after_s, get_penalties
 from cinderway.entry.callers._reply import Reply, Send
 from cinderway.entry.callers._requests import (
-    CallerLeftError,
+    CallerDisconnectedError,
     CallerRequest,
-    backend_request_of,
-    digest_of,
+    build_backend_request,
+    compute_digest,
     find_header,
     read_body,
 )
-from cinderway.entry.callers._served import Served
+from cinderway.entry.callers._served import RequestRecord
 from cinderway.entry.fleet._allowances import Allowances
 from cinderway.entry.servers._messages import (
     HeaderNames,
@@ -57,11 +57,11 @@
 SHEET_WAIT_MS = 700
 SHEET_WAIT_SHARE = 0.25
 # While an entry follows a replica its catalog is at most 0.8 s old, since a heartbeat
-# every half second covers the state of a quarter of a second before. It is older on slow
-# links.
-OUTDATED_MS = 1_500
+# every half second covers the state of a quarter of a second before. It is older on
+# slow links.
+OUTDATED_AFTER_MS = 1_500
 # Errors that follow from the sheet alone, and after which callers do not retry.
-FINAL_BY_SHEET = {ErrorCode.UNKNOWN_ROUTE, ErrorCode.ACCOUNT_UNKNOWN}
+FINAL_SHEET_ERRORS = {ErrorCode.UNKNOWN_ROUTE, ErrorCode.ACCOUNT_UNKNOWN}
 
 
 @dataclass
@@ -81,38 +81,38 @@
             return
         board = self.state.board
         reply = Reply(send, board)
-        served = Served(
+        record = RequestRecord(
             monotonic_ms(), find_header(scope["headers"], self.names.attempt)
         )
         board.in_flight += 1
-        self.state.note_activity()
+        self.state.record_activity()
         try:
-            await self._serve(scope, receive, reply, served)
-        except CallerLeftError:
+            await self._serve(scope, receive, reply, record)
+        except CallerDisconnectedError:
             reply.outcome = "caller-left"
         except OutcomeError as error:
-            served.error = error.error
+            record.error = error.error
             await self._refuse(reply, error.error, error.outcome)
         except CinderwayError as error:
-            served.error = error = self._unless_outdated(error)
+            record.error = error = self._replace_if_outdated(error)
             await self._refuse(reply, error, Resolution.NOT_RUN)
         except Exception:
             logger.exception("a request failed with an unexpected error")
             raise
         finally:
             board.in_flight -= 1
-            if served.permit is not None and not served.was_sent:
-                served.permit.give_back()
-            self._note_end(served, reply)
+            if record.permit is not None and not record.was_sent:
+                record.permit.release()
+            self._record_end(record, reply)
 
-    def _unless_outdated(self, error: CinderwayError) -> CinderwayError:
+    def _replace_if_outdated(self, error: CinderwayError) -> CinderwayError:
         """Replace a final error by a retryable one if a newer sheet may not cause it.
 
         Callers do not retry after 401 and 404. An entry that had lost its replica
         answered 404 for a route that had been added 3.4 s before.
         """
         age_ms = self.state.age_ms(monotonic_ms())
-        if error.code not in FINAL_BY_SHEET or age_ms <= OUTDATED_MS:
+        if error.code not in FINAL_SHEET_ERRORS or age_ms <= OUTDATED_AFTER_MS:
             return error
         return CinderwayError(
             ErrorCode.TABLE_UNKNOWN,
@@ -123,16 +123,16 @@
     async def _refuse(
         self, reply: Reply, error: CinderwayError, outcome: Resolution
     ) -> None:
-        after_s = retry_after_s(error.code, self.state.board.rng.random())
+        after_s = compute_retry_after_s(error.code, self.state.board.rng.random())
         if isinstance(error, RefusedForNowError):
             after_s += error.retry_after_ms / 1000
-        await reply.own(problem_answer(error, outcome, after_s))
+        await reply.send_problem(build_problem_answer(error, outcome, after_s))
 
     async def _serve(
-        self, scope: dict, receive: Receive, reply: Reply, served: Served
+        self, scope: dict, receive: Receive, reply: Reply, record: RequestRecord
     ) -> None:
-        await self._wait_for_sheet(scope, served.started_at_ms)
-        served.route = route = self._route_of(scope)
+        await self._wait_for_sheet(scope, record.started_at_ms)
+        record.route = route = self._find_route(scope)
         # Before the body is read: a caller without permission need not send it.
         permit = RequestPermit(
             watch=self.state.poison,
@@ -141,53 +141,53 @@
             allowances=self.allowances,
             headers=scope["headers"],
         )
-        served.permit = permit
-        await permit.take(route)
-        deadline_ms = self._deadline_of(scope, route, served.started_at_ms)
-        body = await self._body_by(deadline_ms, receive)
+        record.permit = permit
+        await permit.acquire(route)
+        deadline_ms = self._compute_deadline(scope, route, record.started_at_ms)
+        body = await self._read_body_until(deadline_ms, receive)
         # The sheet may have changed in the meantime: use its current services and keys.
-        served.route = route = self._route_of(scope)
-        await permit.take(route)
-        served.service = pick_service(route, self.state.board.rng)
-        served.request = request = self._request_of(
-            scope, route, served, deadline_ms, body
+        record.route = route = self._find_route(scope)
+        await permit.acquire(route)
+        record.service = pick_service(route, self.state.board.rng)
+        record.request = request = self._build_request(
+            scope, route, record, deadline_ms, body
         )
         permit.attempt_id = request.attempt_id
-        permit.digest = await digest_of(request, self.digests)
-        permit.require()
-        await self._attempt(route, served.service, request, receive, reply)
+        permit.digest = await compute_digest(request, self.digests)
+        permit.raise_if_refused()
+        await self._fetch_and_reply(route, record.service, request, receive, reply)
 
-    def _request_of(
+    def _build_request(
         self,
         scope: dict,
         route: RouteRow,
-        served: Served,
+        record: RequestRecord,
         deadline_ms: int,
         body: bytes,
     ) -> CallerRequest:
-        attempt_id = served.attempt_id
+        attempt_id = record.attempt_id
         return CallerRequest(
             method=scope["method"],
             path=scope["path"],
             headers=scope["headers"],
-            caller=CallerName(served.account_name or ""),
+            caller=CallerName(record.account_name or ""),
             deadline_ms=deadline_ms,
             body=body,
-            backend_request=backend_request_of(
+            backend_request=build_backend_request(
                 scope,
                 body,
                 self.names,
                 headers_for_servers(
                     scope["headers"], self.names.account, self.state.accounts
                 ),
-                served.account_name,
+                record.account_name,
             ),
             attempt_id=AttemptId(attempt_id) if attempt_id else None,
             objective_ms=route.objective_ms,
-            objective_at_ms=_objective_at_ms(route, served.started_at_ms),
+            objective_at_ms=_objective_at_ms(route, record.started_at_ms),
             server_limit=route.server_limit or DEFAULT_SERVER_LIMIT,
-            penalties=penalties_of(route.kind),
-            permit=served.permit,
+            penalties=get_penalties(route.kind),
+            permit=record.permit,
         )
 
     async def _wait_for_sheet(self, scope: dict, now_ms: int) -> None:
@@ -199,7 +199,7 @@
             wait_ms = min(wait_ms, round(int(text) * SHEET_WAIT_SHARE))
         await self.state.wait_for_routes(now_ms + wait_ms)
 
-    async def _body_by(self, deadline_ms: int, receive: Receive) -> bytes:
+    async def _read_body_until(self, deadline_ms: int, receive: Receive) -> bytes:
         limit_bytes = self.state.mirror.sheet.limits.body_limit_bytes
         with anyio.move_on_after((deadline_ms - monotonic_ms()) / 1000) as reading:
             body = await read_body(receive, limit_bytes)
@@ -211,7 +211,7 @@
             )
         return body
 
-    def _route_of(self, scope: dict) -> RouteRow:
+    def _find_route(self, scope: dict) -> RouteRow:
         if self.state.routes is None:
             raise CinderwayError(
                 ErrorCode.TABLE_UNKNOWN,
@@ -230,7 +230,7 @@
             )
         return route
 
-    def _deadline_of(self, scope: dict, route: RouteRow, now_ms: int) -> int:
+    def _compute_deadline(self, scope: dict, route: RouteRow, now_ms: int) -> int:
         text = find_header(scope["headers"], self.names.deadline)
         timeout_ms = route.timeout_ms
         if text is not None and text.isdigit():
@@ -238,7 +238,7 @@
             timeout_ms = min(timeout_ms, int(text) - ANSWER_MARGIN_MS)
         return now_ms + max(timeout_ms, 0)
 
-    async def _attempt(
+    async def _fetch_and_reply(
         self,
         route: RouteRow,
         service: ServiceName,
@@ -250,34 +250,34 @@
         state = self.state.board.services[service]
         async with anyio.create_task_group() as tasks:
             scope = tasks.cancel_scope
-            tasks.start_soon(_watch_caller, receive, scope, route, request)
+            tasks.start_soon(_watch_for_disconnect, receive, scope, route, request)
             # Detects a caller that disconnected while its request waited, before a
             # server gets the request.
             await anyio.lowlevel.checkpoint()
             try:
-                answer = await self.attempts.whole_answer(
+                answer = await self.attempts.fetch_answer(
                     state, request, route.is_repeatable
                 )
-                await reply.whole(answer)
+                await reply.send_answer(answer)
             except (CinderwayError, OutcomeError) as error:
                 failure = error
             scope.cancel()
         if failure is not None:
             raise failure
         if reply.first_byte_ms is None:
-            raise CallerLeftError
+            raise CallerDisconnectedError
 
-    def _note_end(self, served: Served, reply: Reply) -> None:
+    def _record_end(self, record: RequestRecord, reply: Reply) -> None:
         """Count the request and write its log line."""
         now_ms = monotonic_ms()
-        duration_ms = now_ms - served.started_at_ms
-        route = served.route_name
+        duration_ms = now_ms - record.started_at_ms
+        route = record.route_name
         labels = {"route": route, "outcome": reply.outcome}
         self.metrics.count("requests_total", labels)
         self.metrics.observe("request_seconds", duration_ms / 1000, {"route": route})
         revision, age_ms = self.state.mirror.revision, self.state.age_ms(now_ms)
-        line = served.line(reply.outcome, duration_ms, revision, age_ms)
-        logger.info("%s%s", line, f"; {served.error}" if served.error else "")
+        line = record.build_log_line(reply.outcome, duration_ms, revision, age_ms)
+        logger.info("%s%s", line, f"; {record.error}" if record.error else "")
 
 
 def _objective_at_ms(route: RouteRow, started_at_ms: int) -> int | None:
@@ -285,7 +285,7 @@
     return started_at_ms + route.objective_ms if route.objective_ms else None
 
 
-async def _watch_caller(
+async def _watch_for_disconnect(
     receive: Receive, scope: anyio.CancelScope, route: RouteRow, request: CallerRequest
 ) -> None:
     """Cancel a request when its caller disconnects, unless it must run to its end.
@@ -298,6 +298,6 @@
         message = await receive()
         if message["type"] == "http.disconnect":
             break
-    request.caller_left.set()
-    if route.is_repeatable or not request.tried:
+    request.caller_disconnected.set()
+    if route.is_repeatable or not request.tried_servers:
         scope.cancel()
--- a/src/cinderway/entry/callers/_run_once.py
+++ b/src/cinderway/entry/callers/_run_once.py
@@ -12,7 +12,7 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import ServiceState
 from cinderway.entry.callers import _claims
-from cinderway.entry.callers._answers import problem_answer
+from cinderway.entry.callers._answers import build_problem_answer
 from cinderway.entry.callers._attempts import Attempts
 from cinderway.entry.callers._outcomes import OutcomeError
 from cinderway.entry.callers._relay import WholeAnswer
@@ -62,9 +62,11 @@
         try:
             await self._claim_and_run(service, request, reply)
         except OutcomeError as error:
-            await reply.own(problem_answer(error.error, error.outcome))
+            await reply.send_problem(build_problem_answer(error.error, error.outcome))
         except CinderwayError as error:
-            await reply.own(problem_answer(error, _claims.outcome_of(error)))
+            await reply.send_problem(
+                build_problem_answer(error, _claims.outcome_of(error))
+            )
         except Exception:
             # An error in one request must not end the task group that all share.
             logger.exception("a run-once request failed with an unexpected error")
@@ -87,9 +89,9 @@
                 self.tasks.start_soon(self._abandon, service, request, attempt_id)
             raise
         match ruling:
-            case _claims.Resent(answer=stored):
+            case _claims.Replayed(answer=stored):
                 headers = [(h.name, h.value) for h in stored.headers]
-                await reply.whole(
+                await reply.send_answer(
                     WholeAnswer(stored.status, headers, stored.body), Resolution.RAN
                 )
             case _claims.Granted():
@@ -103,17 +105,19 @@
         reply: Reply,
     ) -> None:
         try:
-            answer = await self.attempts.whole_answer(service, request, False)
+            answer = await self.attempts.fetch_answer(service, request, False)
         except OutcomeError as error:
             # Recorded before the caller is answered: a caller that is told "not run"
             # and retries must not conflict with its own earlier claim.
             await self._record(granted, error.outcome)
             raise
-        kept = self._stored(service, answer)
+        kept = self._build_stored_answer(service, answer)
         await self._record(granted, Resolution.RAN, kept)
-        await reply.whole(answer, Resolution.RAN)
+        await reply.send_answer(answer, Resolution.RAN)
 
-    def _stored(self, service: ServiceState, answer: WholeAnswer) -> StoredAnswer:
+    def _build_stored_answer(
+        self, service: ServiceState, answer: WholeAnswer
+    ) -> StoredAnswer:
         if len(answer.body) > service.row.answer_kept_bytes:
             return NO_ANSWER
         headers = [Header(name, value) for name, value in answer.headers]
@@ -126,7 +130,7 @@
         answer: StoredAnswer = NO_ANSWER,
     ) -> None:
         try:
-            await _claims.record(self.ledger, granted, resolution, answer)
+            await _claims.record_outcome(self.ledger, granted, resolution, answer)
         except CinderwayError as error:
             self.metrics.count("claims_unrecorded_total", {})
             logger.warning(
@@ -136,7 +140,7 @@
     async def _abandon(
         self, service: ServiceState, request: CallerRequest, attempt_id: AttemptId
     ) -> None:
-        name = _claims.claim_name_of(request, service.row)
+        name = _claims.get_claim_name(request, service.row)
         deadline_ms = monotonic_ms() + _claims.ABANDON_TIMEOUT_MS
         self.in_progress += 1
         try:
--- a/src/cinderway/entry/callers/_served.py
+++ b/src/cinderway/entry/callers/_served.py
@@ -9,7 +9,7 @@
 from cinderway.reports._request_line import NONE
 
 
-class Served:
+class RequestRecord:
     """Collects what the log line of one request needs, while the request is served."""
 
     def __init__(self, started_at_ms: int, attempt_header: bytes | None):
@@ -29,14 +29,14 @@
     @property
     def was_sent(self) -> bool:
         """Whether the request may have reached a server."""
-        return self.request is not None and bool(self.request.tried)
+        return self.request is not None and bool(self.request.tried_servers)
 
     @property
     def route_name(self) -> str:
         """The route's name; NONE if no route matches."""
         return self.route.name if self.route else NONE
 
-    def line(
+    def build_log_line(
         self, outcome: str, duration_ms: int, revision: int, age_ms: int
     ) -> RequestLine:
         """Build the request's log line; `revision` and `age_ms` are the catalog's."""
@@ -46,7 +46,7 @@
             duration_ms=duration_ms,
             route=self.route_name,
             service=self.service or NONE,
-            servers=tuple(self.request.tried) if self.request else (),
+            servers=tuple(self.request.tried_servers) if self.request else (),
             revision=revision,
             age_ms=age_ms,
             account=self.account_name or NONE,
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -39,10 +39,10 @@
             has_attempts = attempt < ATTEMPT_LIMIT
             try:
                 if await self._attempt(transfer, has_attempts):
-                    await reply.end()
+                    await reply.send_end()
                     return
             except CinderwayError as error:
-                await self._go_on_or_raise(transfer, error, has_attempts)
+                await self._resume_or_raise(transfer, error, has_attempts)
         raise AnswerBrokenError
 
     async def _attempt(self, transfer: "_Transfer", has_attempts: bool) -> bool:
@@ -59,15 +59,17 @@
         ) as exchange:
             answer = exchange.answer
             if transfer.download is not None:
-                if not transfer.download.fits(answer):
+                if not transfer.download.can_continue_with(answer):
                     raise AnswerBrokenError
             else:
                 is_failed = answer.status >= SERVER_ERROR
                 if is_failed and has_attempts:
-                    if await self.attempts.spend(transfer.service, transfer.request):
+                    if await self.attempts.consume_retry(
+                        transfer.service, transfer.request
+                    ):
                         return False
                 transfer.download = Download(answer)
-                await transfer.reply.begin(answer)
+                await transfer.reply.send_head(answer)
             await self._relay(transfer, exchange)
         if transfer.download.status < SERVER_ERROR:
             transfer.request.permit.note_good_run()
@@ -84,7 +86,7 @@
                     return
                 before_ms = monotonic_ms()
                 evidence.progress(exchange.attempt, len(chunk), before_ms)
-                await transfer.reply.part(chunk)
+                await transfer.reply.send_chunk(chunk)
                 transfer.download.sent_bytes += len(chunk)
                 blocked_ms = monotonic_ms() - before_ms
                 evidence.caller_blocked(exchange.attempt, blocked_ms)
@@ -96,11 +98,11 @@
         finally:
             await chunks.aclose()
 
-    async def _go_on_or_raise(
+    async def _resume_or_raise(
         self, transfer: "_Transfer", error: CinderwayError, has_attempts: bool
     ) -> None:
         outcome = outcome_of_attempt(error)
-        is_retried = await self.attempts.may_retry(
+        is_retried = await self.attempts.acquire_retry(
             transfer.service, error, outcome, True, has_attempts, transfer.request
         )
         if transfer.download is None and not is_retried:
@@ -124,7 +126,7 @@
         """Return the request for the next server: for the whole body or its rest."""
         if self.download is None:
             return self.request.backend_request
-        return self.download.resume_request(self.request.backend_request)
+        return self.download.build_resume_request(self.request.backend_request)
 
     def deadline_ms(self) -> int:
         """Return the deadline of the next attempt.
--- a/tests/entry/callers/test_accounts.py
+++ b/tests/entry/callers/test_accounts.py
@@ -4,8 +4,12 @@
 
 from cinderway._errors import CinderwayError, ErrorCode
 from cinderway.catalog import AccountIndex, AccountRow, RouteRow
-from cinderway.entry.callers._accounts import headers_for_servers, identify, key_of
-from cinderway.entry.callers._requests import backend_request_of
+from cinderway.entry.callers._accounts import (
+    headers_for_servers,
+    identify_account,
+    parse_api_key,
+)
+from cinderway.entry.callers._requests import build_backend_request
 from cinderway.entry.servers._messages import HeaderNames
 
 KEY = "k3y0fAcme"
@@ -24,13 +28,13 @@
 class IdentifyTests(unittest.TestCase):
     def refusal(self, headers):
         with self.assertRaises(CinderwayError) as caught:
-            identify(ACCOUNTS, PRIVATE, headers)
+            identify_account(ACCOUNTS, PRIVATE, headers)
         self.assertIs(caught.exception.code, ErrorCode.ACCOUNT_UNKNOWN)
         return str(caught.exception)
 
     def test_a_key_names_its_account_however_its_scheme_is_spelled(self):
         for scheme in ("Bearer ", "bearer ", "BEARER  ", "Bearer\t"):
-            found = identify(ACCOUNTS, PRIVATE, [bearer(KEY, scheme)])
+            found = identify_account(ACCOUNTS, PRIVATE, [bearer(KEY, scheme)])
             self.assertEqual(found.account.name, "acme")
 
     def test_without_a_known_key_a_request_is_refused_and_the_key_not_told(self):
@@ -45,13 +49,13 @@
         self.refusal([bearer(KEY), bearer("other")])
 
     def test_a_public_route_needs_no_key_and_still_knows_one(self):
-        self.assertIsNone(identify(ACCOUNTS, PUBLIC, []).account)
-        self.assertIsNone(identify(ACCOUNTS, PUBLIC, [bearer("other")]).account)
-        found = identify(ACCOUNTS, PUBLIC, [bearer(KEY)])
+        self.assertIsNone(identify_account(ACCOUNTS, PUBLIC, []).account)
+        self.assertIsNone(identify_account(ACCOUNTS, PUBLIC, [bearer("other")]).account)
+        found = identify_account(ACCOUNTS, PUBLIC, [bearer(KEY)])
         self.assertEqual(found.account.name, "acme")
 
     def test_without_accounts_nobody_needs_a_key(self):
-        self.assertIsNone(identify(None, PRIVATE, [bearer(KEY)]).account)
+        self.assertIsNone(identify_account(None, PRIVATE, [bearer(KEY)]).account)
 
 
 NAMES = st.sampled_from(
@@ -94,7 +98,7 @@
             "headers": headers,
         }
         names = HeaderNames(account=HEADER, passes_own=True)
-        sent = backend_request_of(scope, b"", names, kept, "acme").headers
+        sent = build_backend_request(scope, b"", names, kept, "acme").headers
         told = []
         for name, value in sent:
             self.assertNotIn(KEY.encode(), value)
@@ -116,4 +120,4 @@
             headers = [(b"authorization", value), (b"accept", b"*/*")]
             kept = headers_for_servers(headers, HEADER, ACCOUNTS)
             self.assertEqual(kept, [(b"accept", b"*/*")])
-        self.assertIsNone(key_of([(b"authorization", b"")]))
+        self.assertIsNone(parse_api_key([(b"authorization", b"")]))
--- a/tests/entry/callers/test_attempts.py
+++ b/tests/entry/callers/test_attempts.py
@@ -11,7 +11,7 @@
 from cinderway._ids import CallerName, ServerName, ServiceName
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import ServiceState
-from cinderway.entry.callers._attempts import UNREACHED_LIMIT, Attempts
+from cinderway.entry.callers._attempts import UNREACHABLE_LIMIT, Attempts
 from cinderway.entry.callers._outcomes import OutcomeError
 from cinderway.entry.callers._requests import CallerRequest
 from cinderway.entry.servers._messages import (
@@ -75,9 +75,9 @@
             server_limit=server_limit,
         )
         if has_left:
-            request.caller_left.set()
+            request.caller_disconnected.set()
         with self.assertRaises(OutcomeError) as raised:
-            anyio.run(attempts.whole_answer, service, request, False)
+            anyio.run(attempts.fetch_answer, service, request, False)
         return raised.exception.outcome
 
     def test_servers_out_of_reach_cost_neither_budget_nor_attempts(self):
@@ -89,7 +89,7 @@
     def test_after_a_few_servers_out_of_reach_the_request_is_given_up_as_not_run(self):
         outcome = self.outcome_of(*[UNREACHED] * 9, server_limit=1)
         self.assertEqual(outcome, Resolution.NOT_RUN)
-        self.assertEqual(len(self.dispatcher.errors), 9 - UNREACHED_LIMIT - 1)
+        self.assertEqual(len(self.dispatcher.errors), 9 - UNREACHABLE_LIMIT - 1)
 
     def test_no_other_server_is_tried_for_a_caller_that_has_left(self):
         outcome = self.outcome_of(UNREACHED, UNREACHED, has_left=True)
--- a/tests/entry/callers/test_handler.py
+++ b/tests/entry/callers/test_handler.py
@@ -23,7 +23,7 @@
     def __init__(self):
         self.requests = []
 
-    async def whole_answer(self, service, request, is_repeatable):
+    async def fetch_answer(self, service, request, is_repeatable):
         self.requests.append(request)
         return WholeAnswer(200, [], b"done")
 
--- a/tests/entry/callers/test_relay.py
+++ b/tests/entry/callers/test_relay.py
@@ -42,7 +42,7 @@
     def test_rest_is_asked_for_by_range_and_etag(self, sent):
         download = Download(whole())
         download.sent_bytes = sent
-        headers = dict(download.resume_request(REQUEST).headers)
+        headers = dict(download.build_resume_request(REQUEST).headers)
         self.assertEqual(headers[b"range"], b"bytes=%d-999" % sent)
         self.assertEqual(headers[b"if-range"], b'"m"')
 
@@ -50,7 +50,7 @@
         first = answer(206, etag=b'"m"', content_range=b"bytes 100-199/1000")
         download = Download(first)
         download.sent_bytes = 40
-        headers = dict(download.resume_request(REQUEST).headers)
+        headers = dict(download.build_resume_request(REQUEST).headers)
         self.assertEqual(headers[b"range"], b"bytes=140-199")
 
     def test_weak_etag_cannot_be_resumed(self):
@@ -63,10 +63,12 @@
         download = Download(whole())
         download.sent_bytes = 500
         rest = {"content_range": b"bytes 500-999/1000"}
-        self.assertTrue(download.fits(answer(206, etag=b'"m"', **rest)))
-        self.assertFalse(download.fits(answer(206, etag=b'"other"', **rest)))
+        self.assertTrue(download.can_continue_with(answer(206, etag=b'"m"', **rest)))
+        self.assertFalse(
+            download.can_continue_with(answer(206, etag=b'"other"', **rest))
+        )
 
     def test_whole_body_in_place_of_the_rest_does_not_fit(self):
         download = Download(whole())
         download.sent_bytes = 500
-        self.assertFalse(download.fits(whole()))
+        self.assertFalse(download.can_continue_with(whole()))
--- a/tests/entry/callers/test_requests.py
+++ b/tests/entry/callers/test_requests.py
@@ -8,7 +8,7 @@
 from cinderway.entry.callers._requests import (
     LARGE_BODY_BYTES,
     CallerRequest,
-    digest_of,
+    compute_digest,
 )
 from cinderway.entry.servers._messages import BackendRequest
 from cinderway.poison import RequestDigests
@@ -27,7 +27,7 @@
         body=body,
         backend_request=BackendRequest(b"POST", b"/p/x", [], body),
     )
-    return anyio.run(digest_of, request, DIGESTS)
+    return anyio.run(compute_digest, request, DIGESTS)
 
 
 class DigestTests(unittest.TestCase):
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -21,9 +21,9 @@
 from cinderway.entry._catalog_board import CatalogBoard
 from cinderway.entry.callers._relay import WholeAnswer
 from cinderway.entry.callers._route_handler import (
-    OUTDATED_MS,
+    OUTDATED_AFTER_MS,
     RouteHandler,
-    retry_after_s,
+    compute_retry_after_s,
 )
 from cinderway.entry.fleet._allowances import Allowances
 from cinderway.entry.servers._messages import (
@@ -58,10 +58,10 @@
         self.services = []
         self.requests = []
 
-    async def whole_answer(self, service, request, is_repeatable):
+    async def fetch_answer(self, service, request, is_repeatable):
         self.services.append(service.row.name)
         self.requests.append(request)
-        request.tried.add("i-1")
+        request.tried_servers.add("i-1")
         return WholeAnswer(200, [], b"done")
 
 
@@ -162,7 +162,7 @@
         self.assertEqual(self.unknown_route(age_ms=-60_000), (404, None))
 
     def test_where_a_newer_sheet_may_have_a_route_the_caller_may_come_back(self):
-        status, retry_after = self.unknown_route(age_ms=OUTDATED_MS + 1_000)
+        status, retry_after = self.unknown_route(age_ms=OUTDATED_AFTER_MS + 1_000)
         self.assertEqual(status, 503)
         self.assertGreater(float(retry_after), 0)
 
@@ -170,7 +170,7 @@
         self.install(1, accounts=[])
         headers = [(b"authorization", b"Bearer a-new-key")]
         caller = Caller(deadline_ms=60_000, headers=headers)
-        self.state.current_at_ms = monotonic_ms() - OUTDATED_MS - 1_000
+        self.state.current_at_ms = monotonic_ms() - OUTDATED_AFTER_MS - 1_000
         self.assertEqual(anyio.run(self.serve, caller), [503])
 
     def test_a_run_that_broke_off_is_logged_by_what_repeats_share(self):
@@ -365,6 +365,8 @@
 
     def test_a_caller_whose_request_was_shed_may_come_back_sooner(self):
         for spread in (0.0, 0.5, 1.0):
-            shed_s = retry_after_s(ErrorCode.BACKEND_SHED, spread)
+            shed_s = compute_retry_after_s(ErrorCode.BACKEND_SHED, spread)
             self.assertGreater(shed_s, 0)
-            self.assertLess(shed_s, retry_after_s(ErrorCode.TABLE_UNKNOWN, spread))
+            self.assertLess(
+                shed_s, compute_retry_after_s(ErrorCode.TABLE_UNKNOWN, spread)
+            )
