--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -200,9 +200,9 @@
         found, self._unreported_suspects = self._unreported_suspects, {}
         return _build_suspects(found, now_ms)
 
-    def hear(self, news: Message, now_ms: int) -> None:
+    def hear(self, message: Message, now_ms: int) -> None:
         """Apply a message about servers from another process of the data hall."""
-        match news:
+        match message:
             case SuspectServers(servers=servers, for_ms=for_ms):
                 for server, left_ms in zip(servers, for_ms, strict=True):
                     if left_ms:
@@ -210,32 +210,32 @@
                     else:
                         self.clear(server)
             case ServerLoads():
-                self.hear_loads(news, now_ms)
+                self.hear_loads(message, now_ms)
             case ServerLimits():
-                self.board.hear_limits(news, now_ms)
+                self.board.hear_limits(message, now_ms)
             case FleetEntries(group=group):
                 self.board.use_group(group, now_ms)
             case RequestRuns():
-                self.poison.hear_runs(news)
+                self.poison.hear_runs(message)
             case RequestRulings():
-                self.poison.hear_rulings(news)
+                self.poison.hear_rulings(message)
 
     def hear_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the loads that other entries of the data hall reported."""
-        for told in message.servers:
-            server = self._find_server(told.server)
-            if server is not None and told.load != NO_LOAD:
-                server.note_load(told.load, now_ms)
+        for reported in message.servers:
+            server = self._find_server(reported.server)
+            if server is not None and reported.load != NO_LOAD:
+                server.note_load(reported.load, now_ms)
 
     def hear_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the replica's loads, including the fleet's requests in flight."""
-        for told in message.servers:
-            server = self._find_server(told.server)
+        for reported in message.servers:
+            server = self._find_server(reported.server)
             if server is None:
                 continue
-            if told.load != NO_LOAD:
-                server.note_load(told.load, now_ms)
-            server.fleet_in_flight = max(told.in_flight, server.in_flight)
+            if reported.load != NO_LOAD:
+                server.note_load(reported.load, now_ms)
+            server.fleet_in_flight = max(reported.in_flight, server.in_flight)
 
     def install(self, update: CatalogUpdate, now_ms: int) -> bool:
         """Apply a catalog update; False if it is not newer than the current copy."""
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -33,7 +33,7 @@
     def note(
         self,
         server: ServerName,
-        kept: ServerPushback,
+        server_pushback: ServerPushback,
         words: ServerWords,
         now_ms: int,
         *,
@@ -46,19 +46,28 @@
         """
         if words.rate_limit_per_s is not None:
             limit = RateLimit(words.rate_limit_per_s, now_ms)
-        elif words.names_limit or not ends_without or not kept.is_limited(now_ms):
+        elif (
+            words.names_limit
+            or not ends_without
+            or not server_pushback.is_limited(now_ms)
+        ):
             return
         else:
             limit = RateLimit(None, now_ms)
-        self._record(server, kept, limit, now_ms)
+        self._record(server, server_pushback, limit, now_ms)
 
     def hear(
-        self, told: ServerLimits, kept_of: dict[ServerName, ServerPushback], now_ms: int
+        self,
+        reported: ServerLimits,
+        pushback_by_server: dict[ServerName, ServerPushback],
+        now_ms: int,
     ) -> None:
         """Apply the limits that other processes learned of."""
-        for line in told.lines:
-            kept = kept_of.get(line.server) or self.book.of(line.server)
-            self._apply(line.server, kept, line.limit(now_ms), now_ms)
+        for line in reported.lines:
+            server_pushback = pushback_by_server.get(line.server) or self.book.of(
+                line.server
+            )
+            self._apply(line.server, server_pushback, line.limit(now_ms), now_ms)
 
     def take_news(self, now_ms: int) -> ServerLimits:
         """Return the limits that were learned from answers since the last call."""
@@ -70,9 +79,9 @@
         known = {server: limit for server, limit in limits.items() if limit is not None}
         return ServerLimits.of(known, now_ms)
 
-    def put_back(self, told: ServerLimits) -> None:
+    def put_back(self, reported: ServerLimits) -> None:
         """Queue limits again whose report could not be sent."""
-        self._unreported.update((line.server, None) for line in told.lines)
+        self._unreported.update((line.server, None) for line in reported.lines)
         self.has_news.set()
 
     def limits(self, now_ms: int) -> ServerLimits:
@@ -91,25 +100,33 @@
         self.book.use_group(group, now_ms)
 
     def _record(
-        self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
+        self,
+        server: ServerName,
+        server_pushback: ServerPushback,
+        limit: RateLimit,
+        now_ms: int,
     ) -> None:
-        if self._apply(server, kept, limit, now_ms):
+        if self._apply(server, server_pushback, limit, now_ms):
             self._unreported[server] = None
             self.has_news.set()
 
     def _apply(
-        self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
+        self,
+        server: ServerName,
+        server_pushback: ServerPushback,
+        limit: RateLimit,
+        now_ms: int,
     ) -> bool:
-        is_news = self.book.learn_limit(server, kept, limit, now_ms)
-        if is_news and kept.turns is None:
+        is_new = self.book.learn_limit(server, server_pushback, limit, now_ms)
+        if is_new and server_pushback.turns is None:
             logger.info("backend server %s no longer has a rate limit", server)
-        elif is_news:
+        elif is_new:
             logger.info(
                 "backend server %s accepts %g requests/s from all entries, as of %d ms "
                 "ago; this entry sends %g/s",
                 server,
-                kept.turns.rate_per_s,
+                server_pushback.turns.rate_per_s,
                 now_ms - limit.heard_at_ms,
-                kept.turns.share_per_s,
+                server_pushback.turns.share_per_s,
             )
-        return is_news
+        return is_new
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -106,9 +106,9 @@
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
             self._handle_ruling(ruling)
 
-    def hear_rulings(self, told: RequestRulings) -> None:
+    def hear_rulings(self, reported: RequestRulings) -> None:
         """Apply the rulings of a replica or of another entry."""
-        for ruling in self.tally.learn_all(told, monotonic_ms()):
+        for ruling in self.tally.learn_all(reported, monotonic_ms()):
             self._handle_ruling(ruling)
 
     def _handle_ruling(self, ruling: Ruling | None) -> None:
@@ -116,8 +116,8 @@
         if ruling is None:
             return
         answered_at_ms = self._answered_at_ms.get(ruling.digest)
-        is_accused = ruling.standing in (Standing.WATCHED, Standing.REFUSED)
-        if is_accused and answered_at_ms is not None:
+        is_restrictive = ruling.standing in (Standing.WATCHED, Standing.REFUSED)
+        if is_restrictive and answered_at_ms is not None:
             # Reads that callers repeat all the time are in flight on every server that
             # ends: they would be refused together with the request that ends it.
             if answered_at_ms >= ruling.since_ms:
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -100,7 +100,7 @@
             if answer.status < SERVER_ERROR or not is_repeatable:
                 return answer
             history.record_error_answer(answer)
-            if not history.has_attempts_left or not await self._pay_for_rerun(
+            if not history.has_attempts_left or not await self._acquire_rerun(
                 service, request
             ):
                 return answer
@@ -193,9 +193,9 @@
             return False
         if outcome is Resolution.NOT_RUN:
             return await self.consume_retry(service, request)
-        return await self._pay_for_rerun(service, request)
+        return await self._acquire_rerun(service, request)
 
-    async def _pay_for_rerun(
+    async def _acquire_rerun(
         self, service: ServiceState, request: CallerRequest
     ) -> bool:
         """Consume a retry and renew the permit, for a request that may have run."""
--- a/src/cinderway/entry/callers/_route_handler.py
+++ b/src/cinderway/entry/callers/_route_handler.py
@@ -53,7 +53,8 @@
 # a second or more.
 ANSWER_MARGIN_MS = 60
 # A fleet that restarts has a leader and its catalog again after about half a second. A
-# caller with a shorter deadline is told to retry while it still waits.
+# caller that would give up sooner waits for this share of its deadline at most, so that
+# it can still receive the answer to retry.
 SHEET_WAIT_MS = 700
 SHEET_WAIT_SHARE = 0.25
 # While an entry follows a replica its catalog is at most 0.8 s old, since a heartbeat
@@ -106,7 +107,7 @@
             self._record_end(record, reply)
 
     def _replace_if_outdated(self, error: CinderwayError) -> CinderwayError:
-        """Replace a final error by a retryable one if a newer sheet may not cause it.
+        """Replace a final error by a retryable one if the sheet may be outdated.
 
         Callers do not retry after 401 and 404. An entry that had lost its replica
         answered 404 for a route that had been added 3.4 s before.
--- a/tests/entry/callers/test_accounts.py
+++ b/tests/entry/callers/test_accounts.py
@@ -32,29 +32,29 @@
         self.assertIs(caught.exception.code, ErrorCode.ACCOUNT_UNKNOWN)
         return str(caught.exception)
 
-    def test_a_key_names_its_account_however_its_scheme_is_spelled(self):
+    def test_a_key_identifies_its_account_in_every_spelling_of_the_scheme(self):
         for scheme in ("Bearer ", "bearer ", "BEARER  ", "Bearer\t"):
             found = identify_account(ACCOUNTS, PRIVATE, [bearer(KEY, scheme)])
             self.assertEqual(found.account.name, "acme")
 
-    def test_without_a_known_key_a_request_is_refused_and_the_key_not_told(self):
+    def test_a_request_without_a_known_key_is_refused_and_its_key_is_not_shown(self):
         self.refusal([])
         self.assertNotIn("other", self.refusal([bearer("other")]))
         self.refusal([bearer(KEY, "Basic ")])
         self.refusal([bearer(KEY + " x")])
         self.refusal([bearer(KEY.upper())])
 
-    def test_two_credentials_are_none(self):
+    def test_two_credentials_are_refused(self):
         self.refusal([bearer(KEY), bearer(KEY)])
         self.refusal([bearer(KEY), bearer("other")])
 
-    def test_a_public_route_needs_no_key_and_still_knows_one(self):
+    def test_a_public_route_needs_no_key_but_recognizes_one(self):
         self.assertIsNone(identify_account(ACCOUNTS, PUBLIC, []).account)
         self.assertIsNone(identify_account(ACCOUNTS, PUBLIC, [bearer("other")]).account)
         found = identify_account(ACCOUNTS, PUBLIC, [bearer(KEY)])
         self.assertEqual(found.account.name, "acme")
 
-    def test_without_accounts_nobody_needs_a_key(self):
+    def test_without_accounts_no_key_is_needed(self):
         self.assertIsNone(identify_account(None, PRIVATE, [bearer(KEY)]).account)
 
 
@@ -88,7 +88,7 @@
 
 class HeaderTests(unittest.TestCase):
     @given(st.lists(st.tuples(NAMES, VALUES)))
-    def test_servers_never_see_a_key_or_an_account_by_the_caller(self, extra):
+    def test_servers_get_neither_keys_nor_account_headers_of_the_caller(self, extra):
         headers = [bearer(KEY), *extra]
         kept = headers_for_servers(headers, HEADER, ACCOUNTS)
         scope = {
@@ -106,16 +106,16 @@
                 told.append(value)
         self.assertEqual(told, [b"acme"])
 
-    def test_other_headers_go_on(self):
+    def test_other_headers_are_forwarded(self):
         headers = [bearer(KEY), (b"accept", b"*/*"), (b"x-a", b"1")]
         kept = headers_for_servers(headers, HEADER, ACCOUNTS)
         self.assertEqual(kept, [(b"accept", b"*/*"), (b"x-a", b"1")])
 
-    def test_without_accounts_a_credential_is_the_servers_own_matter(self):
+    def test_without_accounts_credentials_are_forwarded(self):
         headers = [bearer(KEY), (HEADER, b"x")]
         self.assertEqual(headers_for_servers(headers, HEADER, None), [bearer(KEY)])
 
-    def test_a_credential_without_a_key_hides_no_other_header(self):
+    def test_a_credential_without_a_key_removes_no_other_header(self):
         for value in (b"", b"Bearer */*"):
             headers = [(b"authorization", value), (b"accept", b"*/*")]
             kept = headers_for_servers(headers, HEADER, ACCOUNTS)
--- a/tests/entry/callers/test_attempts.py
+++ b/tests/entry/callers/test_attempts.py
@@ -1,4 +1,4 @@
-"""Which failed attempts are followed by another, and which of them are paid for."""
+"""Which failed attempts are retried, and which retries consume the budget."""
 
 import random
 import unittest
@@ -22,12 +22,12 @@
 from cinderway.limits import RetryBudget
 from cinderway.table import ServiceRow
 
-UNREACHED = CinderwayError(ErrorCode.BACKEND_FAILED, "no way", step=Step.CONNECT)
+UNREACHABLE = CinderwayError(ErrorCode.BACKEND_FAILED, "no way", step=Step.CONNECT)
 BROKEN = CinderwayError(ErrorCode.BACKEND_FAILED, "cut", step=Step.AWAIT_ANSWER)
 
 
 class FailingDispatcher:
-    """Fails each attempt with the next of the given errors, at a new server."""
+    """Fails each attempt with the next of the given errors, at another server."""
 
     def __init__(self, *errors):
         self.errors = list(errors)
@@ -37,14 +37,14 @@
         return f"try-{random.random()}"
 
     @asynccontextmanager
-    async def exchange(self, service, request, attempt_id, deadline_ms, **how):
-        how["exclude"].add(ServerName(f"s{len(how['exclude'])}"))
+    async def exchange(self, service, request, attempt_id, deadline_ms, **options):
+        options["exclude"].add(ServerName(f"s{len(options['exclude'])}"))
         raise self.errors.pop(0)
         yield
 
 
-class NoRetries:
-    """A budget that is spent; counts what is asked of it."""
+class ExhaustedBudget:
+    """An exhausted retry budget that counts the requests for a retry."""
 
     def __init__(self):
         self.asked = 0
@@ -58,9 +58,9 @@
 
 
 class AttemptsTests(unittest.TestCase):
-    def outcome_of(self, *errors, server_limit=2, has_left=False):
+    def outcome_of(self, *errors, server_limit=2, has_disconnected=False):
         self.dispatcher = FailingDispatcher(*errors)
-        self.budget = NoRetries()
+        self.budget = ExhaustedBudget()
         attempts = Attempts(self.dispatcher, Metrics(), 1024, True, self.budget)
         row = ServiceRow(name=ServiceName("submit"))
         service = ServiceState(row, RetryBudget(0))
@@ -74,25 +74,25 @@
             backend_request=BackendRequest(b"POST", b"/p/x", [], b""),
             server_limit=server_limit,
         )
-        if has_left:
+        if has_disconnected:
             request.caller_disconnected.set()
         with self.assertRaises(OutcomeError) as raised:
             anyio.run(attempts.fetch_answer, service, request, False)
         return raised.exception.outcome
 
-    def test_servers_out_of_reach_cost_neither_budget_nor_attempts(self):
-        outcome = self.outcome_of(UNREACHED, UNREACHED, UNREACHED, BROKEN)
+    def test_unreachable_servers_use_neither_the_budget_nor_the_server_limit(self):
+        outcome = self.outcome_of(UNREACHABLE, UNREACHABLE, UNREACHABLE, BROKEN)
         self.assertEqual(outcome, Resolution.UNKNOWN)
         self.assertEqual(self.dispatcher.errors, [])
         self.assertEqual(self.budget.asked, 0)
 
-    def test_after_a_few_servers_out_of_reach_the_request_is_given_up_as_not_run(self):
-        outcome = self.outcome_of(*[UNREACHED] * 9, server_limit=1)
+    def test_after_several_unreachable_servers_the_request_fails_as_not_run(self):
+        outcome = self.outcome_of(*[UNREACHABLE] * 9, server_limit=1)
         self.assertEqual(outcome, Resolution.NOT_RUN)
         self.assertEqual(len(self.dispatcher.errors), 9 - UNREACHABLE_LIMIT - 1)
 
-    def test_no_other_server_is_tried_for_a_caller_that_has_left(self):
-        outcome = self.outcome_of(UNREACHED, UNREACHED, has_left=True)
+    def test_no_other_server_is_tried_after_the_caller_disconnected(self):
+        outcome = self.outcome_of(UNREACHABLE, UNREACHABLE, has_disconnected=True)
         self.assertEqual(outcome, Resolution.NOT_RUN)
         self.assertEqual(len(self.dispatcher.errors), 1)
 
--- a/tests/entry/callers/test_handler.py
+++ b/tests/entry/callers/test_handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests by the table, with a stand-in for what reaches servers."""
+"""Requests routed by the service table, with a fake in place of `Attempts`."""
 
 import random
 import unittest
@@ -18,7 +18,7 @@
 
 
 class AnsweringAttempts:
-    """Answers each request at once, and keeps them."""
+    """Answers each request at once and records it."""
 
     def __init__(self):
         self.requests = []
@@ -58,7 +58,7 @@
         )
 
     def ask(self, path="/lookup/x"):
-        """Return the status of one request's answer, and its headers."""
+        """Send one request; return the status and the headers of the answer."""
         sent = []
         parts = [{"type": "http.request", "body": b"", "more_body": False}]
 
--- a/tests/entry/callers/test_race.py
+++ b/tests/entry/callers/test_race.py
@@ -17,13 +17,13 @@
 
 
 def run_race(*results, is_hedged=True):
-    """Race attempts that end at once with the given results, one after the other."""
+    """Race attempts that end with the given results; errors in reverse order."""
     remaining = list(results)
 
     async def attempt():
         result = remaining.pop(0)
         if isinstance(result, Exception):
-            # The last one ends first: what wins must not depend on the order.
+            # The last one ends first: the reported error must not depend on the order.
             await anyio.sleep(0.01 * len(remaining))
             raise result
         return result
@@ -48,7 +48,7 @@
                 run_race(failure(step), is_hedged=False)
             self.assertIs(caught.exception.step, step)
 
-    def test_an_attempt_that_may_have_run_is_told_before_one_that_has_not(self):
+    def test_the_error_of_an_attempt_that_may_have_run_is_the_one_raised(self):
         for steps in (
             (Step.AWAIT_ANSWER, Step.CONNECT),
             (Step.CONNECT, Step.AWAIT_ANSWER),
@@ -57,8 +57,8 @@
                 run_race(failure(steps[0]), failure(steps[1]))
             self.assertIs(caught.exception.step, Step.AWAIT_ANSWER)
 
-    def test_an_answer_does_not_wait_for_leave_to_send_a_second_attempt(self):
-        """The answer was there and was held back until the replica had answered."""
+    def test_an_answer_does_not_wait_for_permission_to_hedge(self):
+        """Guards against delaying an answer until the replica replies about a hedge."""
 
         async def attempt():
             await anyio.sleep(0.01)
@@ -72,7 +72,7 @@
 
         self.assertEqual(anyio.run(start).status, 200)
 
-    def test_a_second_attempt_that_is_refused_at_first_is_asked_for_again(self):
+    def test_a_hedge_that_is_refused_at_first_is_asked_for_again(self):
         refusals = [False, False, True]
         begun = []
 
@@ -92,7 +92,7 @@
         self.assertEqual(anyio.run(start).status, 200)
         self.assertEqual((len(begun), refusals), (2, []))
 
-    def test_none_is_asked_for_when_it_would_come_too_late(self):
+    def test_a_refused_hedge_is_not_asked_for_again_after_its_time(self):
         asked = []
 
         async def attempt():
--- a/tests/entry/callers/test_requests.py
+++ b/tests/entry/callers/test_requests.py
@@ -1,4 +1,4 @@
-"""What tells a caller's request from another."""
+"""The digest by which repeats of a caller's request are recognized."""
 
 import unittest
 
@@ -39,11 +39,11 @@
         self.assertNotEqual(digest(caller="other"), digest())
         self.assertNotEqual(digest(body=b"1"), digest())
 
-    def test_without_a_name_the_credential_stands_for_the_caller(self):
+    def test_callers_without_a_name_are_told_apart_by_their_credential(self):
         one, other = (digest((b"authorization", c), caller="") for c in (b"1", b"2"))
         self.assertNotEqual(one, other)
 
-    def test_a_large_body_counts_as_a_small_one_does(self):
+    def test_the_digest_of_a_large_body_equals_the_one_computed_directly(self):
         body = b"x" * LARGE_BODY_BYTES
         same = DIGESTS.of(b"POST", b"a.example", b"/p/x", b"acme", body)
         self.assertEqual(digest(body=body), same)
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -1,4 +1,4 @@
-"""Callers' requests by the route sheet, with a stand-in for what reaches servers."""
+"""Requests routed by the route sheet, with a fake in place of `Attempts`."""
 
 import json
 import random
@@ -52,7 +52,7 @@
 
 
 class AnsweringAttempts:
-    """Answers each request at once, and notes the service that it went to."""
+    """Answers each request at once and records the request and its service."""
 
     def __init__(self):
         self.services = []
@@ -66,7 +66,7 @@
 
 
 class Caller:
-    """One caller's request, its body in two parts, and what came back for it."""
+    """One caller's request, with its body in two parts, and the answer to it."""
 
     def __init__(self, deadline_ms, between_parts=None, headers=()):
         self.statuses = []
@@ -87,16 +87,16 @@
             ],
         }
 
-    def break_off(self):
+    def disconnect_before_body(self):
         self._parts = []
         self._left.set()
 
-    def leave(self):
+    def disconnect(self):
         self._left.set()
 
     async def receive(self):
         if not self._parts:
-            # As the HTTP server does: at once if it is known already.
+            # Like the HTTP server: returns at once if the caller is known to be gone.
             if not self._left.is_set():
                 await self._left.wait()
             return {"type": "http.disconnect"}
@@ -132,7 +132,7 @@
         body = sheet(version, service, kind, **fields)
         self.machine.apply(known + 1, encode_command(InstallSheet(body)))
         self.state.install(self.machine.update_since(known), now_ms=0)
-        # Well ahead: however slow the machine is, the sheet is not outdated.
+        # In the future, so that the sheet is not outdated on a slow machine either.
         self.state.current_at_ms = monotonic_ms() + 60_000
 
     async def ask(self, asked, timeout_s):
@@ -150,7 +150,7 @@
         return caller.statuses
 
     def unknown_route(self, age_ms):
-        """Return what a request gets that no route fits, and when to come back."""
+        """Return the status and Retry-After of a request that matches no route."""
         self.install(1)
         self.state.current_at_ms = monotonic_ms() - age_ms
         caller = Caller(deadline_ms=60_000)
@@ -158,22 +158,24 @@
         (status,) = anyio.run(self.serve, caller)
         return status, caller.headers[0].get(b"retry-after")
 
-    def test_without_a_route_a_request_is_refused_for_good(self):
+    def test_a_request_without_a_route_gets_a_final_error(self):
         self.assertEqual(self.unknown_route(age_ms=-60_000), (404, None))
 
-    def test_where_a_newer_sheet_may_have_a_route_the_caller_may_come_back(self):
+    def test_without_a_route_the_caller_may_retry_if_the_sheet_may_be_outdated(self):
         status, retry_after = self.unknown_route(age_ms=OUTDATED_AFTER_MS + 1_000)
         self.assertEqual(status, 503)
         self.assertGreater(float(retry_after), 0)
 
-    def test_where_a_newer_sheet_may_know_a_key_the_caller_may_come_back(self):
+    def test_an_unknown_key_may_be_retried_if_the_sheet_may_be_outdated(
+        self,
+    ):
         self.install(1, accounts=[])
         headers = [(b"authorization", b"Bearer a-new-key")]
         caller = Caller(deadline_ms=60_000, headers=headers)
         self.state.current_at_ms = monotonic_ms() - OUTDATED_AFTER_MS - 1_000
         self.assertEqual(anyio.run(self.serve, caller), [503])
 
-    def test_a_run_that_broke_off_is_logged_by_what_repeats_share(self):
+    def test_a_broken_run_is_logged_with_the_digest_that_repeats_share(self):
         self.install(1)
         with self.assertLogs("cinderway.entry.callers._poison_permit") as logs:
             for attempt in (b"a1", b"a2"):
@@ -185,7 +187,7 @@
         self.assertEqual(first.removeprefix("a1"), second.removeprefix("a2"))
 
     def poisoned(self, ended):
-        """Return what a request gets of which one repeat ended so many servers."""
+        """Send a request of which an earlier repeat ended that many servers."""
         self.install(1)
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests.pop().permit
@@ -194,7 +196,7 @@
         caller = Caller(60_000, headers=[(b"cinderway-attempt", b"again")])
         return anyio.run(self.serve, caller), caller
 
-    def test_a_request_that_ends_servers_is_refused_at_once_and_until_when(self):
+    def test_a_request_that_ends_servers_is_refused_at_once_with_a_retry_time(self):
         (status,), caller = self.poisoned(ended=ENDS_TO_REFUSE)
         self.assertEqual(status, 503)
         self.assertEqual(caller.headers[0][b"cinderway-outcome"], b"not_run")
@@ -202,7 +204,7 @@
         self.assertAlmostEqual(retry_after_s, REFUSED_FOR_MS / 1000, delta=30)
         self.assertEqual(self.attempts.requests, [])
 
-    def test_with_fewer_ends_it_is_sent_but_no_second_try_is_paid_for(self):
+    def test_a_request_that_ended_fewer_servers_is_sent_but_not_sent_again(self):
         (status,), _ = self.poisoned(ended=ENDS_TO_REFUSE - 1)
         self.assertEqual(status, 200)
         (request,) = self.attempts.requests
@@ -214,7 +216,7 @@
         caller.scope["query_string"] = b"page=2"
         self.assertEqual(anyio.run(self.serve, caller), [200])
 
-    def test_once_it_is_refused_one_that_is_under_way_reaches_no_further_server(self):
+    def test_a_request_in_flight_that_becomes_refused_reaches_no_further_server(self):
         self.install(1)
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests[0].permit
@@ -224,7 +226,7 @@
         self.assertFalse(permit.holds)
         self.assertIs(permit.refusal().step, Step.QUEUE)
 
-    def test_a_request_that_comes_before_the_sheet_waits_for_it(self):
+    def test_a_request_that_arrives_before_the_sheet_waits_for_it(self):
         async def scenario():
             caller = Caller(deadline_ms=60_000)
             async with anyio.create_task_group() as tasks:
@@ -236,48 +238,48 @@
 
         self.assertEqual(anyio.run(scenario), [200])
 
-    def test_without_a_sheet_a_caller_is_told_to_come_back_while_it_still_can(self):
+    def test_without_a_sheet_a_caller_is_told_to_retry_before_its_deadline(self):
         self.assertEqual(anyio.run(self.serve, Caller(deadline_ms=40)), [503])
         self.assertEqual(self.attempts.services, [])
 
-    def test_nothing_is_sent_for_a_caller_that_left_while_its_request_waited(self):
+    def test_nothing_is_sent_if_the_caller_disconnected_while_its_request_waited(self):
         async def scenario(caller):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.serve, caller)
                 await anyio.wait_all_tasks_blocked()
-                caller.leave()
+                caller.disconnect()
                 self.install(1, kind="once")
             return caller.statuses
 
         self.assertEqual(anyio.run(scenario, Caller(deadline_ms=60_000)), [])
         self.assertEqual(self.attempts.services, [])
 
-    def test_a_service_that_leaves_while_the_body_comes_is_not_used(self):
+    def test_a_service_that_is_removed_while_the_body_arrives_is_not_used(self):
         self.install(1, "lookup")
         caller = Caller(60_000, between_parts=lambda: self.install(2, "archive"))
         self.assertEqual(anyio.run(self.serve, caller), [200])
         self.assertEqual(self.attempts.services, ["archive"])
 
-    def test_a_request_goes_to_servers_under_its_accounts_name_without_its_key(self):
+    def test_a_request_is_sent_with_its_accounts_name_and_without_its_key(self):
         self.install(1, accounts=[{"name": "acme", "keys": ["k3y0fAcme"]}])
-        told = [
+        headers = [
             (b"authorization", b"Bearer k3y0fAcme"),
             (b"cinderway-account", b"other"),
         ]
-        caller = Caller(60_000, headers=told)
+        caller = Caller(60_000, headers=headers)
         self.assertEqual(anyio.run(self.serve, caller), [200])
         headers = self.attempts.requests[0].backend_request.headers
         self.assertIn((b"cinderway-account", b"acme"), headers)
         self.assertNotIn(b"other", dict(headers).values())
         self.assertNotIn(b"k3y0fAcme", repr(headers).encode())
 
-    def test_a_request_without_a_known_key_is_refused_before_its_body_comes(self):
+    def test_a_request_without_a_known_key_is_refused_before_its_body_is_read(self):
         self.install(1, accounts=[])
         caller = Caller(60_000, between_parts=lambda: self.fail("the body was read"))
         self.assertEqual(anyio.run(self.serve, caller), [401])
         self.assertEqual(self.attempts.services, [])
 
-    def test_a_key_that_is_taken_away_while_the_body_comes_no_longer_counts(self):
+    def test_a_key_that_is_revoked_while_the_body_arrives_is_not_accepted(self):
         self.install(1, accounts=[{"name": "acme", "keys": ["k3y0fAcme"]}])
         caller = Caller(
             60_000,
@@ -287,7 +289,7 @@
         self.assertEqual(anyio.run(self.serve, caller), [401])
         self.assertEqual(self.attempts.services, [])
 
-    def test_an_entry_without_a_sheet_refuses_nobody_for_good(self):
+    def test_an_entry_without_a_sheet_gives_no_final_error(self):
         caller = Caller(40, headers=[(b"authorization", b"Bearer k3y0fAcme")])
         self.assertEqual(anyio.run(self.serve, caller), [503])
 
@@ -301,7 +303,7 @@
         self.assertEqual(anyio.run(self.serve, caller), [200])
         self.assertEqual(self.asks[0].lines[0].needed, 1)
 
-    def test_without_a_token_it_is_refused_before_its_body_comes(self):
+    def test_without_a_token_a_request_is_refused_before_its_body_is_read(self):
         self.install(1, accounts=[self.LIMITED])
         for grant, status in ((0, 429), (None, 503)):
             self.grant = grant
@@ -311,24 +313,25 @@
                 headers=self.CREDENTIAL,
             )
             self.assertEqual(anyio.run(self.serve, caller), [status])
-            # The next one may ask at once.
+            # Lets the next request ask for a token at once.
             self.handler.allowances.start_anew()
         self.assertEqual(self.attempts.services, [])
 
-    def test_a_refusal_says_when_a_token_may_come_free(self):
+    def test_a_refusal_tells_when_a_token_may_be_available(self):
         self.install(1, accounts=[self.LIMITED])
         self.grant = 0
         caller = Caller(60_000, headers=self.CREDENTIAL)
         anyio.run(self.serve, caller)
         self.assertGreaterEqual(float(caller.headers[0][b"retry-after"]), 0.5)
 
-    def test_a_request_that_was_refused_gives_no_token_back(self):
+    def test_a_refused_request_returns_no_token(self):
         self.install(1, accounts=[self.LIMITED])
 
         async def scenario():
             self.grant = 1
             served = await self.serve(Caller(60_000, headers=self.CREDENTIAL))
-            # Its use is not told yet when the next one is refused without an answer.
+            # The use of its token is not reported yet when the next request is refused
+            # because the replica does not answer.
             self.grant = None
             refused = await self.serve(Caller(60_000, headers=self.CREDENTIAL))
             return served + refused
@@ -336,7 +339,7 @@
         self.assertEqual(anyio.run(scenario), [200, 503])
         self.assertEqual(self.handler.allowances.held, 0)
 
-    def test_a_key_that_moves_while_the_body_comes_is_paid_for_by_its_new_account(self):
+    def test_a_key_that_moves_while_the_body_arrives_uses_its_new_accounts_token(self):
         self.install(1, accounts=[self.LIMITED])
         self.grant = 1
         moved = [{**self.LIMITED, "name": "other"}]
@@ -350,20 +353,20 @@
         self.assertEqual(asked, ["acme", "other"])
         self.assertEqual(self.handler.allowances.held, 1)
 
-    def test_a_caller_that_left_before_its_request_was_sent_costs_no_token(self):
+    def test_a_caller_that_disconnects_before_its_request_is_sent_uses_no_token(self):
         self.install(1, accounts=[self.LIMITED])
         self.grant = 1
 
         async def scenario():
             caller = Caller(60_000, headers=self.CREDENTIAL)
-            caller.break_off()
+            caller.disconnect_before_body()
             await self.serve(caller)
             return await self.serve(Caller(60_000, headers=self.CREDENTIAL))
 
         self.assertEqual(anyio.run(scenario), [200])
         self.assertEqual(len(self.asks), 1)
 
-    def test_a_caller_whose_request_was_shed_may_come_back_sooner(self):
+    def test_a_caller_whose_request_was_shed_may_retry_sooner(self):
         for spread in (0.0, 0.5, 1.0):
             shed_s = compute_retry_after_s(ErrorCode.BACKEND_SHED, spread)
             self.assertGreater(shed_s, 0)
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -1,4 +1,4 @@
-"""How the entries of a hall share what they know of servers' loads."""
+"""How the entries of a data hall share loads and rejections of backend servers."""
 
 import dataclasses
 import json
@@ -63,13 +63,13 @@
         self.dispatcher = Dispatcher(board, BackendConnections(), EvidenceLog())
 
     def hear(self, **loads):
-        told = [ServerLoad(ServerName(name), load) for name, load in loads.items()]
-        message = ServerLoads(told)
+        reported = [ServerLoad(ServerName(name), load) for name, load in loads.items()]
+        message = ServerLoads(reported)
         self.state.hear_loads(message, monotonic_ms())
 
     def choice(self, penalties=USUAL_PENALTIES):
         service = self.state.board.services[SERVICE]
-        # A fresh look each time: nothing is noted as sent.
+        # Chooses anew each time: no request is counted as sent.
         wanted = WantedSlot(
             monotonic_ms() + 60_000,
             exclude=set(),
@@ -79,16 +79,16 @@
         )
         return self.dispatcher.slots._free_server(service, wanted, monotonic_ms()).name
 
-    def test_what_another_entry_knows_decides_where_this_one_sends(self):
+    def test_loads_reported_by_another_entry_decide_the_choice_of_server(self):
         self.hear(a=1.5, b=0.5)
         self.assertEqual({self.choice() for _ in range(20)}, {"b"})
         self.hear(a=0.25, b=2.0)
         self.assertEqual({self.choice() for _ in range(20)}, {"a"})
 
-    def test_another_halls_servers_are_not_taken_for_empty(self):
+    def test_servers_of_another_hall_are_not_considered_idle(self):
         far = self.servers["b"]
         far.row = dataclasses.replace(far.row, data_hall=DataHall("nadi"))
-        # Full, but hardly fuller than the other hall's is by what its entries say.
+        # Full, but hardly fuller than the other hall's server by its entries' reports.
         others = ServerLoads([ServerLoad("b", NO_LOAD, in_flight=3)])
         self.state.hear_fleet_loads(others, monotonic_ms())
         self.hear(a=1.25)
@@ -96,89 +96,94 @@
         self.hear(a=2.0)
         self.assertEqual(self.choice(Penalties(other_hall=0.7)), "b")
 
-    def test_a_request_that_is_sent_counts_at_once_for_the_others(self):
+    def test_a_sent_request_is_reported_to_other_entries_at_once(self):
         self.hear(a=0.5, b=2.0)
         server = self.servers["a"]
         self.dispatcher.notes.send(server, server.load_known_at_ms)
         now_ms = server.load_known_at_ms
-        told = self.state.take_loads(now_ms)
-        self.assertEqual(told.servers, [ServerLoad("a", 0.75, in_flight=1)])
+        reported = self.state.take_loads(now_ms)
+        self.assertEqual(reported.servers, [ServerLoad("a", 0.75, in_flight=1)])
         self.assertEqual(self.state.take_loads(now_ms).servers, [])
 
-    def test_nothing_is_made_up_of_servers_that_tell_no_load(self):
+    def test_no_load_is_reported_for_servers_that_report_none(self):
         self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
-        told = self.state.take_loads(monotonic_ms())
-        self.assertEqual(told.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
+        reported = self.state.take_loads(monotonic_ms())
+        self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["a"].known_load, 0)
 
-    def test_what_the_fleet_has_under_way_counts_though_its_last_load_has_faded(self):
+    def test_requests_in_flight_of_the_fleet_count_after_the_load_has_decayed(
+        self,
+    ):
         hanging = ServerLoads([ServerLoad("a", 1.0, in_flight=4)])
         self.state.hear_fleet_loads(hanging, monotonic_ms())
         long_after_ms = monotonic_ms() + 60_000
         self.assertEqual(self.servers["a"].load_at(long_after_ms), 1)
         self.assertEqual({self.choice() for _ in range(20)}, {"b"})
 
-    def test_requests_under_way_here_count_although_the_replica_missed_them(self):
+    def test_requests_in_flight_here_count_if_the_replica_does_not_know_them(self):
         server = self.servers["a"]
         for _ in range(2):
             self.dispatcher.notes.send(server, monotonic_ms())
-        told = ServerLoads([ServerLoad("a", NO_LOAD, in_flight=1)])
-        self.state.hear_fleet_loads(told, monotonic_ms())
+        reported = ServerLoads([ServerLoad("a", NO_LOAD, in_flight=1)])
+        self.state.hear_fleet_loads(reported, monotonic_ms())
         self.assertEqual(server.fleet_in_flight, 2)
         server.end_request()
         server.end_request()
         self.assertEqual((server.in_flight, server.fleet_in_flight), (0, 0))
 
-    def test_the_next_replica_is_told_of_all_that_is_under_way(self):
+    def test_all_requests_in_flight_are_reported_to_the_next_replica(self):
         self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
         self.state.take_loads(monotonic_ms())
         others = ServerLoads([ServerLoad("a", NO_LOAD, 4), ServerLoad("b", NO_LOAD, 4)])
         self.state.hear_fleet_loads(others, monotonic_ms())
         self.state.follow_anew()
-        told = self.state.take_loads(monotonic_ms())
-        self.assertEqual(told.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
+        reported = self.state.take_loads(monotonic_ms())
+        self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["b"].fleet_in_flight, 0)
 
-    def test_loads_of_servers_that_are_not_known_here_are_passed_over(self):
+    def test_loads_of_unknown_servers_are_ignored(self):
         self.hear(unknown=1.0, a=0.5)
         self.assertEqual(self.servers["a"].known_load, 0.5)
 
 
-class TurnedAwayTests(unittest.TestCase):
-    """Under overload servers turn requests away all the time, at each entry."""
+class RejectionTests(unittest.TestCase):
+    """Under overload servers reject requests all the time, at each entry.
+
+    Guards against one report to the data hall for each rejected request.
+    """
 
     def setUp(self):
-        # Time stands still.
+        # The clock does not advance.
         self.enterContext(monotonic_source(lambda: 1_000_000_000_000))
         board = Blackboard(EntryName("e1"), SUVA, random.Random(1))
         self.state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
         self.state.install(catalog(["a", "b"]).update_since(0), now_ms=0)
 
-    def told(self):
+    def reported(self):
         return self.state.take_turned_away(monotonic_ms()).servers
 
-    def test_the_hall_is_told_once_of_a_server_that_turns_many_away(self):
+    def test_a_server_that_rejects_many_requests_is_reported_once(self):
         for _ in range(50):
             self.state.board.on_turned_away(ServerName("a"))
-        self.assertEqual(self.told(), ["a"])
+        self.assertEqual(self.reported(), ["a"])
         self.state.board.on_turned_away(ServerName("a"))
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.reported(), [])
         self.assertFalse(self.state.turned_away.is_set())
 
-    def test_what_another_entry_has_just_told_is_not_told_again(self):
+    def test_a_server_that_another_entry_has_just_reported_is_not_reported_again(self):
         self.state.hear(SuspectServers(["a"], [FADES_MS]), monotonic_ms())
         self.state.board.on_turned_away(ServerName("a"))
-        self.assertEqual(self.told(), [])
+        self.assertEqual(self.reported(), [])
 
-    def test_after_a_while_it_is(self):
+    def test_a_server_that_another_entry_reported_earlier_is_reported_again(self):
         left_ms = FADES_MS - UNDER_WAY_MS
         self.state.hear(SuspectServers(["a"], [left_ms]), monotonic_ms())
         self.state.board.on_turned_away(ServerName("a"))
-        self.assertEqual(self.told(), ["a"])
+        self.assertEqual(self.reported(), ["a"])
 
 
 class LoadsChangedTests(unittest.TestCase):
-    def test_who_waits_for_loads_is_woken_though_others_took_none_meanwhile(self):
+    def test_a_waiter_is_woken_although_another_task_collected_no_loads_meanwhile(self):
         board = Blackboard(EntryName("e1"), SUVA, random.Random(1))
         state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
         awaited = state.loads_changed
--- a/tests/entry/test_limit_watch.py
+++ b/tests/entry/test_limit_watch.py
@@ -1,8 +1,8 @@
-"""What an entry learns of the fleet bounds what it takes of a server by itself.
+"""The number of entries in the fleet, by which each entry divides servers' limits.
 
-Servers name how many connections they take from all callers together. Entries that
-serve by the catalog took the whole of that for themselves: nothing told them how many
-they are, and each counted itself as the only one.
+Servers state how many connections they accept from all callers together. Guards against
+entries in catalog mode that each use the whole limit: they did not know the number of
+entries, and each one counted itself as the only one.
 """
 
 import random
@@ -14,12 +14,12 @@
 
 
 class FleetSizeTests(unittest.TestCase):
-    def test_an_entry_that_knows_its_group_counts_the_others_too(self):
+    def test_an_entry_that_knows_its_group_counts_all_entries_of_all_groups(self):
         board = Blackboard(EntryName("e1"), DataHall("suva"), random.Random(1))
         names = frozenset(EntryName(f"e{number}") for number in range(8))
         board.use_group(EntryGroup("a", frozenset("abcde"), names), 0)
         self.assertEqual(board.entry_count, 40)
 
-    def test_an_entry_that_knows_of_nobody_counts_itself(self):
+    def test_an_entry_without_a_group_counts_only_itself(self):
         board = Blackboard(EntryName("e1"), DataHall("suva"), random.Random(1))
         self.assertEqual(board.entry_count, 1)
