--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -47,8 +47,8 @@
     suspect_until_ms: int = 0
     # The server has announced that it is slow (warming up) until then.
     warm_until_ms: int = 0
-    # Start of the slow start of a server that joined while this entry was running; 0 if
-    # it has none.
+    # When the slow start of a server that joined while this entry was running began; 0
+    # if the server has none.
     joined_at_ms: int = 0
     is_ejected: bool = False
     is_held_by_floor: bool = False
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -119,7 +119,7 @@
     def note_late_answer(self, server: ServerName) -> None:
         """End the suspicion of a server that was late but does not hang."""
         if self._suspicions.note_late_answer(server):
-            self.clear(server)
+            self.clear_suspicion(server)
         self.bad_news.set()
 
     def suspect(self, server: ServerName, until_ms: int) -> None:
@@ -128,7 +128,7 @@
         if state is not None:
             state.suspect_until_ms = max(state.suspect_until_ms, until_ms)
 
-    def clear(self, server: ServerName) -> None:
+    def clear_suspicion(self, server: ServerName) -> None:
         """End the suspicion of a server before it expires."""
         state = self._find_server(server)
         if state is not None:
@@ -208,7 +208,7 @@
                     if left_ms:
                         self.suspect(server, now_ms + left_ms)
                     else:
-                        self.clear(server)
+                        self.clear_suspicion(server)
             case ServerLoads():
                 self.hear_loads(message, now_ms)
             case ServerLimits():
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -106,7 +106,7 @@
         if not self.board.is_table_trusted:
             raise CinderwayError(
                 ErrorCode.TABLE_UNKNOWN,
-                "this entry has not received the current service table yet",
+                "this entry does not know the current service table yet",
                 step=Step.ROUTE,
             )
         match = self.board.routes.match(scope["method"], scope["path"])
@@ -184,7 +184,7 @@
             case Repeatability.SINGLE:
                 # Not cancelled when the caller disconnects: the request may not run
                 # twice, so its outcome must be awaited.
-                await self._attempt_whole(service, request, reply, False)
+                await self._fetch_and_reply(service, request, reply, False)
             case Repeatability.REPEATABLE:
                 await self._serve_repeatable(service, request, receive, reply)
 
@@ -202,14 +202,14 @@
                 if service.row.answer_mode is AnswerMode.STREAM:
                     await self.streams.serve(service, request, reply)
                 else:
-                    await self._attempt_whole(service, request, reply, True)
+                    await self._fetch_and_reply(service, request, reply, True)
             except (CinderwayError, OutcomeError, AnswerBrokenError) as error:
                 failure = error
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
 
-    async def _attempt_whole(
+    async def _fetch_and_reply(
         self,
         service: ServiceState,
         request: CallerRequest,
