--- a/tests/entry/callers/test_accounts.py
+++ b/tests/entry/callers/test_accounts.py
@@ -99,12 +99,12 @@
         }
         names = HeaderNames(account=HEADER, passes_own=True)
         sent = build_backend_request(scope, b"", names, kept, "acme").headers
-        told = []
+        account_values = []
         for name, value in sent:
             self.assertNotIn(KEY.encode(), value)
             if name.lower().replace(b"_", b"-") == HEADER:
-                told.append(value)
-        self.assertEqual(told, [b"acme"])
+                account_values.append(value)
+        self.assertEqual(account_values, [b"acme"])
 
     def test_other_headers_are_forwarded(self):
         headers = [bearer(KEY), (b"accept", b"*/*"), (b"x-a", b"1")]
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -62,7 +62,7 @@
         self.servers = board.services[SERVICE].servers
         self.dispatcher = Dispatcher(board, BackendConnections(), EvidenceLog())
 
-    def hear(self, **loads):
+    def report_loads(self, **loads):
         reported = [ServerLoad(ServerName(name), load) for name, load in loads.items()]
         message = ServerLoads(reported)
         self.state.hear_loads(message, monotonic_ms())
@@ -80,9 +80,9 @@
         return self.dispatcher.slots._free_server(service, wanted, monotonic_ms()).name
 
     def test_loads_reported_by_another_entry_decide_the_choice_of_server(self):
-        self.hear(a=1.5, b=0.5)
+        self.report_loads(a=1.5, b=0.5)
         self.assertEqual({self.choice() for _ in range(20)}, {"b"})
-        self.hear(a=0.25, b=2.0)
+        self.report_loads(a=0.25, b=2.0)
         self.assertEqual({self.choice() for _ in range(20)}, {"a"})
 
     def test_servers_of_another_hall_are_not_considered_idle(self):
@@ -91,13 +91,13 @@
         # Full, but hardly fuller than the other hall's server by its entries' reports.
         others = ServerLoads([ServerLoad("b", NO_LOAD, in_flight=3)])
         self.state.hear_fleet_loads(others, monotonic_ms())
-        self.hear(a=1.25)
+        self.report_loads(a=1.25)
         self.assertEqual(self.choice(Penalties(other_hall=0.7)), "a")
-        self.hear(a=2.0)
+        self.report_loads(a=2.0)
         self.assertEqual(self.choice(Penalties(other_hall=0.7)), "b")
 
     def test_a_sent_request_is_reported_to_other_entries_at_once(self):
-        self.hear(a=0.5, b=2.0)
+        self.report_loads(a=0.5, b=2.0)
         server = self.servers["a"]
         self.dispatcher.notes.send(server, server.load_known_at_ms)
         now_ms = server.load_known_at_ms
@@ -142,7 +142,7 @@
         self.assertEqual(self.servers["b"].fleet_in_flight, 0)
 
     def test_loads_of_unknown_servers_are_ignored(self):
-        self.hear(unknown=1.0, a=0.5)
+        self.report_loads(unknown=1.0, a=0.5)
         self.assertEqual(self.servers["a"].known_load, 0.5)
 
 
