--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -1,7 +1,7 @@
-"""What an entry knows of the rates that servers name, and what it has to tell of them.
+"""The rate limits that backend servers announce, as one entry knows them.
 
-Part of the blackboard: requests note what answers said, and what others tell comes in
-here, too.
+Part of the blackboard: limits come from answers to this entry's requests and from other
+processes; those learned from answers are reported to the others.
 """
 
 import logging
@@ -24,63 +24,72 @@
 
 @dataclass
 class LimitWatch:
-    """The rates that servers name, as this entry knows them."""
+    """Tracks the servers' rate limits and which of them are still to be reported."""
 
     book: PushbackBook
     has_news: anyio.Event = field(default_factory=anyio.Event)
-    _changed: dict[ServerName, None] = field(default_factory=dict)
+    _unreported: dict[ServerName, None] = field(default_factory=dict)
 
     def note(
         self,
         server: ServerName,
-        kept: ServerPushback,
+        server_pushback: ServerPushback,
         words: ServerWords,
         now_ms: int,
         *,
         ends_without: bool,
     ) -> None:
-        """Take over what an answer here says of its server's limit.
+        """Record what an answer to this entry says about its server's rate limit.
 
-        An answer that names none ends a limit if `ends_without` is set; one whose limit
-        cannot be read changes nothing.
+        An answer without a limit ends the current one if `ends_without` is set; an
+        answer with an unreadable limit changes nothing.
         """
         if words.rate_limit_per_s is not None:
             limit = RateLimit(words.rate_limit_per_s, now_ms)
-        elif words.names_limit or not ends_without or not kept.is_limited(now_ms):
+        elif (
+            words.names_limit
+            or not ends_without
+            or not server_pushback.is_limited(now_ms)
+        ):
             return
         else:
             limit = RateLimit(None, now_ms)
-        self._learn(server, kept, limit, now_ms)
+        self._record(server, server_pushback, limit, now_ms)
 
     def hear(
-        self, told: ServerLimits, kept_of: dict[ServerName, ServerPushback], now_ms: int
+        self,
+        reported: ServerLimits,
+        pushback_by_server: dict[ServerName, ServerPushback],
+        now_ms: int,
     ) -> None:
-        """Take over what others heard of servers."""
-        for line in told.lines:
-            kept = kept_of.get(line.server) or self.book.of(line.server)
-            self._take(line.server, kept, line.limit(now_ms), now_ms)
+        """Apply the limits that other processes learned of."""
+        for line in reported.lines:
+            server_pushback = pushback_by_server.get(line.server) or self.book.of(
+                line.server
+            )
+            self._apply(line.server, server_pushback, line.limit(now_ms), now_ms)
 
     def take_news(self, now_ms: int) -> ServerLimits:
-        """Return what is to be told since the last call."""
-        changed, self._changed = self._changed, {}
-        # One that is not set yet may be waited for by another task: it must stay.
+        """Return the limits that were learned from answers since the last call."""
+        changed, self._unreported = self._unreported, {}
+        # An event that is not set may have waiters: it must not be replaced.
         if self.has_news.is_set():
             self.has_news = anyio.Event()
         limits = {server: self.book.limits.of(server) for server in changed}
         known = {server: limit for server, limit in limits.items() if limit is not None}
         return ServerLimits.of(known, now_ms)
 
-    def put_back(self, told: ServerLimits) -> None:
-        """Tell later what could not be told now."""
-        self._changed.update((line.server, None) for line in told.lines)
+    def put_back(self, reported: ServerLimits) -> None:
+        """Queue limits again whose report could not be sent."""
+        self._unreported.update((line.server, None) for line in reported.lines)
         self.has_news.set()
 
     def limits(self, now_ms: int) -> ServerLimits:
-        """Return what a replica that is followed anew may not know."""
+        """Return all current limits, for a replica that may not know them."""
         return ServerLimits.of(self.book.limits.held(now_ms), now_ms)
 
     def use_group(self, group: EntryGroup, now_ms: int) -> None:
-        """Take over which entries divide servers' rates with this one."""
+        """Apply the group of entries that share the servers' rate limits."""
         if group != self.book.group:
             logger.info(
                 "servers' rates are divided among %d entries of group %s, one of %d",
@@ -90,26 +99,34 @@
             )
         self.book.use_group(group, now_ms)
 
-    def _learn(
-        self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
+    def _record(
+        self,
+        server: ServerName,
+        server_pushback: ServerPushback,
+        limit: RateLimit,
+        now_ms: int,
     ) -> None:
-        if self._take(server, kept, limit, now_ms):
-            self._changed[server] = None
+        if self._apply(server, server_pushback, limit, now_ms):
+            self._unreported[server] = None
             self.has_news.set()
 
-    def _take(
-        self, server: ServerName, kept: ServerPushback, limit: RateLimit, now_ms: int
+    def _apply(
+        self,
+        server: ServerName,
+        server_pushback: ServerPushback,
+        limit: RateLimit,
+        now_ms: int,
     ) -> bool:
-        is_news = self.book.learn_limit(server, kept, limit, now_ms)
-        if is_news and kept.turns is None:
-            logger.info("backend server %s names no limit any more", server)
-        elif is_news:
+        is_new = self.book.learn_limit(server, server_pushback, limit, now_ms)
+        if is_new and server_pushback.turns is None:
+            logger.info("backend server %s no longer has a rate limit", server)
+        elif is_new:
             logger.info(
-                "backend server %s takes %g requests/s from all entries, heard %d ms "
-                "ago; this one sends it %g/s",
+                "backend server %s accepts %g requests/s from all entries, as of %d ms "
+                "ago; this entry sends %g/s",
                 server,
-                kept.turns.rate_per_s,
+                server_pushback.turns.rate_per_s,
                 now_ms - limit.heard_at_ms,
-                kept.turns.share_per_s,
+                server_pushback.turns.share_per_s,
             )
-        return is_news
+        return is_new
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -1,10 +1,10 @@
-"""Whole answers: attempt, hedge and retry until one is there.
+"""Fetch unstreamed answers: attempt, hedge and retry until there is one.
 
 A request that may have run is sent again only if it is repeatable. Hedges and retries
-are paid for from a retry budget and bounded by the request's server limit; retries
-after a shed are neither, unless `pays_for_sheds` is set. A server that could not be
-reached got nothing: another is tried for free, a few times. Nothing is sent again for a
-caller that has left.
+consume a retry budget and are bounded by the request's server limit; retries after a
+shed are neither, unless `pays_for_sheds` is set. A server that could not be reached got
+nothing: another one is tried without using the budget, UNREACHABLE_LIMIT times at most.
+Nothing is sent again for a caller that has disconnected.
 """
 
 from dataclasses import dataclass, field
@@ -15,88 +15,97 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import ServiceState
 from cinderway.entry.callers._outcomes import OutcomeError, outcome_of_attempt
-from cinderway.entry.callers._policies import hedge_after_ms
+from cinderway.entry.callers._policies import compute_hedge_delay_ms
 from cinderway.entry.callers._race import Hedge, race
-from cinderway.entry.callers._relay import WholeAnswer, read_whole
+from cinderway.entry.callers._relay import WholeAnswer, read_whole_answer
 from cinderway.entry.callers._requests import CallerRequest
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._holds import HeldBackError
 from cinderway.ledger import Resolution
 
 SERVER_ERROR = 500
-# Servers that one request may find out of reach before it is given up.
-UNREACHED_LIMIT = 3
+# Unreachable servers that a request may meet; at the next one it fails.
+UNREACHABLE_LIMIT = 3
 
 
-class RetrySource(Protocol):
-    """Where retries and hedges are paid from."""
+class SpendableBudget(Protocol):
+    """The budget that retries and hedges consume."""
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Credit the budget for an incoming request."""
 
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry, after a failure or beside a slow attempt; False if none is
-        left, or if that is not known by `until_ms`.
+        """Consume one retry, after a failure or as a hedge of a slow attempt.
+
+        False if none is left, or if that is not known by `until_ms`.
         """
 
 
-class OwnRetries:
-    """Each service's budget on this entry alone."""
+class LocalRetryBudget:
+    """The retry budget that each service has on this entry."""
 
     def earn(self, service: ServiceState) -> None:
-        """Note a request that came in."""
+        """Credit the budget for an incoming request."""
         service.budget.earn()
 
     async def spend(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
-        """Take one retry; False if there is none left."""
+        """Consume one retry; False if none is left."""
         return service.budget.spend()
 
 
 @dataclass
 class Attempts:
-    """Brings one request to as many backend servers as it may reach."""
+    """Sends requests to backend servers, with retries and hedges."""
 
     dispatcher: Dispatcher
     metrics: Metrics
     answer_limit_bytes: int
-    # Whether a request that a server refused to run takes from the budget.
+    # Whether a retry after a server shed the request consumes the budget.
     pays_for_sheds: bool = False
-    budget: RetrySource = field(default_factory=OwnRetries)
+    budget: SpendableBudget = field(default_factory=LocalRetryBudget)
 
-    async def whole_answer(
+    async def fetch_answer(
         self, service: ServiceState, request: CallerRequest, is_repeatable: bool
     ) -> WholeAnswer:
         """Return the first good answer of the servers that the request may reach.
 
-        A server's answer of 5xx is returned if nothing better came. Raises OutcomeError
-        whose outcome is NOT_RUN only if no server can have run the request.
+        A server's answer of 5xx is returned if no better one arrives. Raises
+        OutcomeError, whose outcome is NOT_RUN only if no server can have run the
+        request.
         """
         self.budget.earn(service)
-        tries = _Tries(request)
+        history = _AttemptHistory(request)
         while True:
-            tries.rounds += 1
+            history.rounds += 1
             try:
-                answer = await self._raced(service, request, is_repeatable)
+                answer = await self._attempt_hedged(service, request, is_repeatable)
             except CinderwayError as error:
-                outcome = tries.note_failure(error)
-                if await self.may_retry(
-                    service, error, outcome, is_repeatable, tries.has_more, request
+                outcome = history.record_failure(error)
+                if await self.acquire_retry(
+                    service,
+                    error,
+                    outcome,
+                    is_repeatable,
+                    history.has_attempts_left,
+                    request,
                 ):
                     continue
-                if tries.bad_answer is not None:
-                    return tries.bad_answer
-                raise OutcomeError(error, tries.outcome) from error
+                if history.error_answer is not None:
+                    return history.error_answer
+                raise OutcomeError(error, history.outcome) from error
             if answer.status < SERVER_ERROR or not is_repeatable:
                 return answer
-            tries.note_bad_answer(answer)
-            if not tries.has_more or not await self._pay_again(service, request):
+            history.record_error_answer(answer)
+            if not history.has_attempts_left or not await self._acquire_rerun(
+                service, request
+            ):
                 return answer
 
-    async def _one_whole(
+    async def _attempt_once(
         self,
         service: ServiceState,
         request: CallerRequest,
@@ -107,15 +116,15 @@
             request.backend_request,
             request.attempt_id or self.dispatcher.new_attempt_id(),
             request.deadline_ms,
-            exclude=request.tried,
+            exclude=request.tried_servers,
             is_repeatable=is_repeatable,
             penalties=request.penalties,
-            # A second try is for what a first one may have cost already: it is not
-            # turned away.
-            objective_at_ms=None if request.tried else request.objective_at_ms,
+            # A second attempt is not refused for a long queue: the first one may have
+            # used up the time until the objective.
+            objective_at_ms=None if request.tried_servers else request.objective_at_ms,
             permit=request.permit,
         ) as exchange:
-            answer = await read_whole(
+            answer = await read_whole_answer(
                 self.dispatcher,
                 exchange,
                 self.answer_limit_bytes,
@@ -126,21 +135,21 @@
                 request.permit.note_good_run()
             return answer
 
-    async def _raced(
+    async def _attempt_hedged(
         self,
         service: ServiceState,
         request: CallerRequest,
         is_repeatable: bool,
     ) -> WholeAnswer:
         async def attempt() -> WholeAnswer:
-            return await self._one_whole(service, request, is_repeatable)
+            return await self._attempt_once(service, request, is_repeatable)
 
-        may_reach_more = len(request.tried) + 1 < request.server_limit
+        may_reach_more = len(request.tried_servers) + 1 < request.server_limit
         if not is_repeatable or not may_reach_more:
             return await attempt()
 
         pace = self.dispatcher.evidence.pace(service.row.name)
-        after_ms = hedge_after_ms(pace, request.objective_ms)
+        delay_ms = compute_hedge_delay_ms(pace, request.objective_ms)
         until_ms = self._retry_until_ms(service, request)
 
         async def may_hedge() -> bool:
@@ -153,10 +162,10 @@
             self.metrics.count("hedges_total", {"service": service.row.name})
             return True
 
-        hedge = Hedge(monotonic_ms() + after_ms, until_ms, may_hedge)
+        hedge = Hedge(monotonic_ms() + delay_ms, until_ms, may_hedge)
         return await race(attempt, hedge)
 
-    async def may_retry(
+    async def acquire_retry(
         self,
         service: ServiceState,
         error: CinderwayError,
@@ -165,32 +174,39 @@
         has_attempts: bool,
         request: CallerRequest,
     ) -> bool:
-        """Say whether a failed attempt is followed by another, and pay for it."""
+        """Decide whether to retry a failed attempt; consume the budget if so."""
         if isinstance(error, HeldBackError):
-            # No server got it, and the wait for a slot that follows paces it.
-            return request.permit.holds and not request.caller_left.is_set()
+            # No server got it, and the wait for a slot that follows limits the rate.
+            return request.permit.holds and not request.caller_disconnected.is_set()
         if error.step in (Step.QUEUE, Step.ROUTE):
             return False
         if error.code is ErrorCode.BACKEND_SHED and not self.pays_for_sheds:
-            # Not run, and the slot wait that follows paces it: no new load.
+            # It did not run, and the wait for a slot that follows limits the rate: a
+            # retry adds no load.
             return True
         if not is_repeatable and outcome is not Resolution.NOT_RUN:
             return False
         if error.step is Step.CONNECT:
-            # Nothing reached a server: no load that a budget would have to bound.
+            # No server got anything, so there is no load for a budget to bound.
             return has_attempts
         if not has_attempts:
             return False
         if outcome is Resolution.NOT_RUN:
-            return await self.spend(service, request)
-        return await self._pay_again(service, request)
+            return await self.consume_retry(service, request)
+        return await self._acquire_rerun(service, request)
 
-    async def _pay_again(self, service: ServiceState, request: CallerRequest) -> bool:
-        """Take a retry, and leave to send what may have run once more."""
-        return await self.spend(service, request) and await request.permit.renew()
+    async def _acquire_rerun(
+        self, service: ServiceState, request: CallerRequest
+    ) -> bool:
+        """Consume a retry and renew the permit, for a request that may have run."""
+        return (
+            await self.consume_retry(service, request) and await request.permit.renew()
+        )
 
-    async def spend(self, service: ServiceState, request: CallerRequest) -> bool:
-        """Take a retry from the service's budget, if there is one left."""
+    async def consume_retry(
+        self, service: ServiceState, request: CallerRequest
+    ) -> bool:
+        """Consume a retry from the service's budget; False if none is left."""
         until_ms = self._retry_until_ms(service, request)
         if not await self.budget.spend(service, until_ms=until_ms):
             return False
@@ -198,45 +214,50 @@
         return True
 
     def _retry_until_ms(self, service: ServiceState, request: CallerRequest) -> float:
-        """Return until when a further try would mostly be answered in time."""
+        """Return until when another attempt would usually be answered in time."""
         usual_ms = self.dispatcher.evidence.pace(service.row.name).usual_ms
         return request.deadline_ms - usual_ms
 
 
 @dataclass
-class _Tries:
-    """What became of one request so far."""
+class _AttemptHistory:
+    """The attempts at one request so far."""
 
     request: CallerRequest
     rounds: int = 0
-    unreached: int = 0
+    unreachable_count: int = 0
     may_have_run: bool = False
-    bad_answer: WholeAnswer | None = None
+    error_answer: WholeAnswer | None = None
 
-    def note_failure(self, error: CinderwayError) -> Resolution:
-        """Note an attempt without an answer; return what it means by itself."""
+    def record_failure(self, error: CinderwayError) -> Resolution:
+        """Record an attempt without an answer; return the outcome of that attempt."""
         outcome = outcome_of_attempt(error)
         self.may_have_run = self.may_have_run or outcome is not Resolution.NOT_RUN
-        self.unreached += error.step is Step.CONNECT
+        self.unreachable_count += error.step is Step.CONNECT
         self.rounds -= isinstance(error, HeldBackError)
         return outcome
 
-    def note_bad_answer(self, answer: WholeAnswer) -> None:
-        """Note a server's answer of 5xx."""
-        self.bad_answer = answer
+    def record_error_answer(self, answer: WholeAnswer) -> None:
+        """Record a server's answer of 5xx."""
+        self.error_answer = answer
         self.may_have_run = True
 
     @property
     def outcome(self) -> Resolution:
-        """What all attempts together mean."""
+        """The outcome of all attempts together."""
         return Resolution.UNKNOWN if self.may_have_run else Resolution.NOT_RUN
 
     @property
-    def has_more(self) -> bool:
-        """Whether the request may reach another server."""
-        if self.request.caller_left.is_set() or self.unreached > UNREACHED_LIMIT:
+    def has_attempts_left(self) -> bool:
+        """Whether the request may be sent to another server."""
+        if (
+            self.request.caller_disconnected.is_set()
+            or self.unreachable_count > UNREACHABLE_LIMIT
+        ):
             return False
         if not self.request.permit.holds:
             return False
-        reached = max(self.rounds, len(self.request.tried)) - self.unreached
+        reached = (
+            max(self.rounds, len(self.request.tried_servers)) - self.unreachable_count
+        )
         return reached < self.request.server_limit
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -1,4 +1,7 @@
-"""The callers' side: one ASGI request from admission to its final answer."""
+"""The ASGI application of an entry that routes by the service table.
+
+Handles one request from admission to its final answer.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -13,7 +16,7 @@
 from cinderway._settings import EntrySettings
 from cinderway.entry._blackboard import Blackboard, ServiceState
 from cinderway.entry._poison_watch import PoisonWatch
-from cinderway.entry.callers._answers import problem_answer
+from cinderway.entry.callers._answers import build_problem_answer
 from cinderway.entry.callers._attempts import Attempts
 from cinderway.entry.callers._outcomes import (
     AnswerBrokenError,
@@ -25,15 +28,15 @@
 from cinderway.entry.callers._requests import (
     KEY_HEADER,
     KEY_LIMIT_BYTES,
-    CallerLeftError,
+    CallerDisconnectedError,
     CallerRequest,
     Repeatability,
-    backend_request_of,
-    caller_of,
-    deadline_of,
-    digest_of,
+    build_backend_request,
+    compute_deadline,
+    compute_digest,
+    get_caller_name,
+    get_repeatability,
     read_body,
-    repeatability_of,
 )
 from cinderway.entry.callers._run_once import RunOnce
 from cinderway.entry.callers._stream import Streams
@@ -52,7 +55,7 @@
 
 @dataclass
 class Handler:
-    """Serves callers on one entry."""
+    """Serves the callers of one entry."""
 
     settings: EntrySettings
     board: Blackboard
@@ -78,22 +81,22 @@
             match = self._match(scope)
             service = match.service.name
             await self._serve(match, scope, receive, reply)
-        except CallerLeftError:
+        except CallerDisconnectedError:
             reply.outcome = "caller-left"
         except RefusedError as error:
-            await reply.own(
-                problem_answer(error, Resolution.NOT_RUN, error.retry_after_s)
+            await reply.send_problem(
+                build_problem_answer(error, Resolution.NOT_RUN, error.retry_after_s)
             )
         except OutcomeError as error:
-            await reply.own(problem_answer(error.error, error.outcome))
+            await reply.send_problem(build_problem_answer(error.error, error.outcome))
         except CinderwayError as error:
-            await reply.own(problem_answer(error, Resolution.NOT_RUN))
+            await reply.send_problem(build_problem_answer(error, Resolution.NOT_RUN))
         except AnswerBrokenError:
-            # Raised on to uvicorn, which then closes the connection: the caller
-            # must see that the body is not whole.
+            # Raised to uvicorn, which then closes the connection, so that the caller
+            # sees that the body is incomplete.
             raise
         except Exception:
-            logger.exception("a request failed in an unforeseen way")
+            logger.exception("a request failed with an unexpected error")
             raise
         finally:
             self.board.in_flight -= 1
@@ -103,7 +106,7 @@
         if not self.board.is_table_trusted:
             raise CinderwayError(
                 ErrorCode.TABLE_UNKNOWN,
-                "this entry does not know the table in force yet",
+                "this entry does not know the current service table yet",
                 step=Step.ROUTE,
             )
         match = self.board.routes.match(scope["method"], scope["path"])
@@ -120,9 +123,9 @@
     ) -> None:
         service = self.board.services[match.service.name]
         caller_header = self.settings.caller_header.lower().encode()
-        caller = caller_of(scope, caller_header)
+        caller = get_caller_name(scope, caller_header)
         now_ms = monotonic_ms()
-        deadline_ms = deadline_of(scope, service.row.request_timeout_ms, now_ms)
+        deadline_ms = compute_deadline(scope, service.row.request_timeout_ms, now_ms)
         self._admit(service, caller, deadline_ms - now_ms)
         service.admission.enter(caller)
         try:
@@ -137,12 +140,13 @@
                 caller=caller,
                 deadline_ms=deadline_ms,
                 body=body,
-                backend_request=backend_request_of(scope, body),
+                backend_request=build_backend_request(scope, body),
                 permit=permit,
             )
-            permit.digest = await digest_of(request, self.digests)
-            # Before a request that runs once is claimed: it is not run here.
-            permit.require()
+            permit.digest = await compute_digest(request, self.digests)
+            # Checked before a run-once request is claimed, since a refused one does not
+            # run here.
+            permit.raise_if_refused()
             await self._serve_by_kind(match, service, request, receive, reply)
         finally:
             service.admission.leave(caller)
@@ -150,7 +154,7 @@
     def _admit(
         self, service: ServiceState, caller: CallerName, remaining_ms: int
     ) -> None:
-        # All entries share the slots; a request here waits for this entry's part.
+        # The entries share the slots; requests here wait for this entry's share.
         slots = sum(server.row.slots for server in usable_servers(service))
         usable_slots = slots / self.board.entry_count
         decision = service.admission.decide(
@@ -167,20 +171,20 @@
         receive: Receive,
         reply: Reply,
     ) -> None:
-        match repeatability_of(request, match):
+        match get_repeatability(request, match):
             case Repeatability.RUN_ONCE:
                 _check_key(request)
                 await self.run_once.serve(service, request, reply)
             case Repeatability.SINGLE if match.is_run_once and service.row.key_required:
                 raise CinderwayError(
                     ErrorCode.KEY_REQUIRED,
-                    f"{KEY_HEADER.decode()} is required here",
+                    f"{KEY_HEADER.decode()} is required for this service",
                     step=Step.CLAIM,
                 )
             case Repeatability.SINGLE:
-                # Not cancelled with its caller: it may not run twice, so what came
-                # of it must be seen to the end.
-                await self._attempt_whole(service, request, reply, False)
+                # Not cancelled when the caller disconnects: the request may not run
+                # twice, so its outcome must be awaited.
+                await self._fetch_and_reply(service, request, reply, False)
             case Repeatability.REPEATABLE:
                 await self._serve_repeatable(service, request, receive, reply)
 
@@ -193,27 +197,27 @@
     ) -> None:
         failure: Exception | None = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(_cancel_when_caller_leaves, receive, tasks.cancel_scope)
+            tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
             try:
                 if service.row.answer_mode is AnswerMode.STREAM:
                     await self.streams.serve(service, request, reply)
                 else:
-                    await self._attempt_whole(service, request, reply, True)
+                    await self._fetch_and_reply(service, request, reply, True)
             except (CinderwayError, OutcomeError, AnswerBrokenError) as error:
                 failure = error
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
 
-    async def _attempt_whole(
+    async def _fetch_and_reply(
         self,
         service: ServiceState,
         request: CallerRequest,
         reply: Reply,
         is_repeatable: bool,
     ) -> None:
-        answer = await self.attempts.whole_answer(service, request, is_repeatable)
-        await reply.whole(answer)
+        answer = await self.attempts.fetch_answer(service, request, is_repeatable)
+        await reply.send_answer(answer)
 
     # Counters.
 
@@ -236,14 +240,12 @@
     if not 1 <= length <= KEY_LIMIT_BYTES:
         raise CinderwayError(
             ErrorCode.KEY_REQUIRED,
-            f"{KEY_HEADER.decode()} of {length} bytes; 1 to {KEY_LIMIT_BYTES} allowed",
+            f"{KEY_HEADER.decode()} has {length} bytes; 1 to {KEY_LIMIT_BYTES} allowed",
             step=Step.CLAIM,
         )
 
 
-async def _cancel_when_caller_leaves(
-    receive: Receive, scope: anyio.CancelScope
-) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -1,4 +1,4 @@
-"""Bring an answer to the caller: whole, or streamed with resumption."""
+"""Relay an answer to the caller: read to its end, or streamed and resumable."""
 
 import re
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 from cinderway._clock import monotonic_ms
 from cinderway._errors import CinderwayError, ErrorCode, Step
-from cinderway.entry.callers._requests import find_header, forwarded
+from cinderway.entry.callers._requests import find_header, select_forwarded_headers
 from cinderway.entry.servers._dispatch import Dispatcher, Exchange
 from cinderway.entry.servers._messages import (
     BackendAnswer,
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class WholeAnswer:
-    """An answer read to its end.
+    """An answer that was read to its end.
 
-    `announced_length` is set where the length is of a body that is not sent (HEAD).
+    `announced_length` is set if the length is that of a body that is not sent (HEAD).
     """
 
     status: int
@@ -35,10 +35,10 @@
     announced_length: bytes | None = None
 
 
-async def read_whole(
+async def read_whole_answer(
     dispatcher: Dispatcher, exchange: Exchange, limit_bytes: int, deadline_ms: int
 ) -> WholeAnswer:
-    """Read an answer to its end; raises CinderwayError if it is cut or too large."""
+    """Read an answer to its end; raises CinderwayError if it breaks or is too large."""
     answer = exchange.answer
     parts: list[bytes] = []
     size_bytes = 0
@@ -48,13 +48,15 @@
                 parts.append(chunk)
                 size_bytes += len(chunk)
                 if size_bytes > limit_bytes:
-                    raise _too_large(exchange, limit_bytes)
+                    raise _build_too_large_error(exchange, limit_bytes)
                 dispatcher.evidence.progress(
                     exchange.attempt, len(chunk), monotonic_ms()
                 )
     except TimeoutError as error:
         dispatcher.evidence.fail(exchange.attempt, Bad.OVERDUE)
-        raise _cut(exchange, "the body did not end before the deadline") from error
+        raise _build_cut_error(
+            exchange, "the body did not end before the deadline"
+        ) from error
     except CinderwayError as error:
         if error.code is ErrorCode.ANSWER_CUT_SHORT:
             dispatcher.evidence.fail(exchange.attempt, Bad.CUT)
@@ -68,42 +70,44 @@
 
 
 def headers_for_caller(answer: BackendAnswer) -> Headers:
-    """Return the headers of a server's answer that go on to the caller.
+    """Return the headers of a server's answer that are forwarded to the caller.
 
-    A rest that a server asks this entry for is not the caller's: another server may
-    take the request at once.
+    Retry-After in an answer of 503 is addressed to this entry, not to the caller:
+    another server may accept the request at once.
     """
-    headers = forwarded(_lower(answer.headers), answer.names)
+    headers = select_forwarded_headers(_lowercase_names(answer.headers), answer.names)
     if answer.status != UNAVAILABLE:
         return headers
     return [(name, value) for name, value in headers if name != RETRY_AFTER]
 
 
 async def next_chunk(chunks, exchange: Exchange, stall_timeout_ms: int) -> bytes | None:
-    """Return the next part of a streamed body, or None at its end."""
+    """Return the next chunk of a streamed body, or None at its end."""
     try:
         with anyio.fail_after(stall_timeout_ms / 1000):
             return await anext(chunks, None)
     except TimeoutError as error:
-        raise _cut(exchange, f"no progress for {stall_timeout_ms} ms") from error
+        raise _build_cut_error(
+            exchange, f"no progress for {stall_timeout_ms} ms"
+        ) from error
 
 
 class Download:
-    """Where a streamed answer stands, and how it can be gone on with elsewhere.
+    """The progress of a streamed answer, and how to resume it at another server.
 
-    Resuming needs a strong ETag, since only that promises the same bytes on every
-    server (RFC 9110, section 13.1.5), and an answer whose length is known.
+    Resuming requires a strong ETag, since only that guarantees the same bytes on every
+    server (RFC 9110, section 13.1.5), and an answer of known length.
     """
 
     def __init__(self, answer: BackendAnswer):
-        self.etag = find_header(_lower(answer.headers), b"etag")
+        self.etag = find_header(_lowercase_names(answer.headers), b"etag")
         self.status = answer.status
         self.sent_bytes = 0
         self._first_byte, self._last_byte = _byte_range(answer)
 
     @property
     def is_resumable(self) -> bool:
-        """Whether another server can go on with it."""
+        """Whether another server can resume the answer."""
         return (
             self.status in (OK, PARTIAL_CONTENT)
             and self.etag is not None
@@ -111,8 +115,8 @@
             and self._last_byte is not None
         )
 
-    def resume_request(self, request: BackendRequest) -> BackendRequest:
-        """Return the request for the rest of the body."""
+    def build_resume_request(self, request: BackendRequest) -> BackendRequest:
+        """Build the request for the rest of the body."""
         kept = [
             (name, value)
             for name, value in request.headers
@@ -122,9 +126,9 @@
         headers = [*kept, (b"range", wanted), (b"if-range", self.etag)]
         return BackendRequest(request.method, request.target, headers, request.body)
 
-    def fits(self, answer: BackendAnswer) -> bool:
+    def can_continue_with(self, answer: BackendAnswer) -> bool:
         """Whether an answer holds exactly the rest of the same body."""
-        etag = find_header(_lower(answer.headers), b"etag")
+        etag = find_header(_lowercase_names(answer.headers), b"etag")
         first_byte, last_byte = _byte_range(answer)
         return (
             answer.status == PARTIAL_CONTENT
@@ -149,11 +153,11 @@
     return 0, None
 
 
-def _lower(headers: Headers) -> Headers:
+def _lowercase_names(headers: Headers) -> Headers:
     return [(name.lower(), value) for name, value in headers]
 
 
-def _cut(exchange: Exchange, detail: str) -> CinderwayError:
+def _build_cut_error(exchange: Exchange, detail: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.ANSWER_CUT_SHORT,
         detail,
@@ -162,7 +166,7 @@
     )
 
 
-def _too_large(exchange: Exchange, limit_bytes: int) -> CinderwayError:
+def _build_too_large_error(exchange: Exchange, limit_bytes: int) -> CinderwayError:
     return CinderwayError(
         ErrorCode.BACKEND_FAILED,
         f"the answer is over {limit_bytes} bytes; the service must stream it",
