--- a/src/cinderway/catalog/__init__.py
+++ b/src/cinderway/catalog/__init__.py
@@ -1,7 +1,8 @@
-"""The service catalog: a sheet of routes, and the servers that registered themselves.
+"""The service catalog: the route sheet and the registered backend servers.
 
-Operators replace the route sheet as a whole, under a version of their own. Backend
-servers announce themselves by heartbeats. Control replicates both; entries follow.
+Operators replace the route sheet as a whole and number its versions themselves. Backend
+servers register by sending heartbeats. Control replicates both, and entries follow the
+changes.
 """
 
 from cinderway.catalog._accounts import (
@@ -59,7 +60,7 @@
 from cinderway.catalog._refusals import REFUSALS_PATH, RefusalRow, parse_digest
 from cinderway.catalog._registry import (
     SERVERS_PATH,
-    UNTOLD,
+    UNKNOWN_START,
     RegisteredServer,
     Registry,
     RegistryChange,
@@ -82,7 +83,7 @@
     "NO_LOAD",
     "REFUSALS_PATH",
     "SERVERS_PATH",
-    "UNTOLD",
+    "UNKNOWN_START",
     "AccountIndex",
     "AccountRow",
     "AccountUse",
--- a/src/cinderway/catalog/_accounts.py
+++ b/src/cinderway/catalog/_accounts.py
@@ -88,7 +88,7 @@
 def check_accounts(accounts: list[AccountRow]) -> None:
     """Raise CinderwayError with SHEET_INVALID that names the account and the column."""
     for account in accounts:
-        for problem in _problems_of(account):
+        for problem in _find_problems(account):
             raise _invalid(problem)
     names = Counter(account.name for account in accounts)
     for name, count in names.items():
@@ -105,7 +105,7 @@
                 )
 
 
-def _problems_of(account: AccountRow) -> Iterator[str]:
+def _find_problems(account: AccountRow) -> Iterator[str]:
     name = account.name
     if not name:
         yield "an account's name is empty"
--- a/src/cinderway/catalog/_commands.py
+++ b/src/cinderway/catalog/_commands.py
@@ -8,7 +8,7 @@
 
 from cinderway._ids import Address, DataHall, RequestDigest, ServerName
 from cinderway.catalog._packing import pack, unpack
-from cinderway.catalog._registry import UNTOLD, RegisteredServer
+from cinderway.catalog._registry import UNKNOWN_START, RegisteredServer
 
 
 class InstallSheet(msgspec.Struct, frozen=True, tag="sheet"):
@@ -27,7 +27,7 @@
         return cls(packed=pack(body))
 
     @property
-    def text(self) -> bytes:
+    def unpacked_body(self) -> bytes:
         """The sheet as its operator sent it."""
         return unpack(self.packed) if self.packed else self.body
 
@@ -51,7 +51,7 @@
     """
 
     server_id: ServerName
-    started_at_ms: int = UNTOLD
+    started_at_ms: int = UNKNOWN_START
 
 
 class AnnounceReplica(msgspec.Struct, frozen=True, tag="replica"):
--- a/src/cinderway/catalog/_heartbeats.py
+++ b/src/cinderway/catalog/_heartbeats.py
@@ -12,16 +12,16 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, DataHall, ServerName, ServiceName
-from cinderway.catalog._registry import UNTOLD, RegisteredServer, ServerStatus
+from cinderway.catalog._registry import UNKNOWN_START, RegisteredServer, ServerStatus
 
 logger = logging.getLogger(__name__)
 
 # Far above any id; what is kept of one is sent to every entry.
-ID_LIMIT = 200
-HIGHEST_PORT = 65_535
+MAX_ID_LENGTH = 200
+MAX_PORT = 65_535
 
 # What fields may hold. Numbers are kept in 64 bits; no slots would be divided by.
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=ID_LIMIT)]
+IdText = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ID_LENGTH)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 WholeMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
@@ -34,31 +34,33 @@
     moves from active to leaving, whatever the order calls arrive in.
     """
 
-    service: Name
-    address: Name
-    data_hall: Name
+    service: IdText
+    address: IdText
+    data_hall: IdText
     slots: Slots
     status: ServerStatus
     version: str = ""
     warmup_left_ms: WholeMilliseconds = 0
     sequence: int = 0
-    started_at_ms: WholeMilliseconds = UNTOLD
+    started_at_ms: WholeMilliseconds = UNKNOWN_START
 
 
-class Farewell(msgspec.Struct, frozen=True):
+class Deregistration(msgspec.Struct, frozen=True):
     """What a server that leaves for good may say of itself."""
 
-    started_at_ms: WholeMilliseconds = UNTOLD
+    started_at_ms: WholeMilliseconds = UNKNOWN_START
 
 
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat, strict=True)
-_farewell_decoder = msgspec.json.Decoder(Farewell, strict=True)
+_deregistration_decoder = msgspec.json.Decoder(Deregistration, strict=True)
 
 
 def check_server_id(text: str) -> ServerName:
     """Return an id; raises CinderwayError with HEARTBEAT_INVALID if it can be none."""
-    if not 1 <= len(text) <= ID_LIMIT:
-        raise _invalid(f"an id of {len(text)} characters; allowed: 1 to {ID_LIMIT}")
+    if not 1 <= len(text) <= MAX_ID_LENGTH:
+        raise _invalid(
+            f"an id of {len(text)} characters; allowed: 1 to {MAX_ID_LENGTH}"
+        )
     return ServerName(text)
 
 
@@ -67,17 +69,17 @@
 
     Raises CinderwayError with HEARTBEAT_INVALID that says what was given and allowed.
     """
-    said = _decoded(_heartbeat_decoder, server_id, body)
+    heartbeat = _decode(_heartbeat_decoder, server_id, body)
     return RegisteredServer(
         server_id,
-        ServiceName(said.service),
-        _checked_address(said.address, server_id),
-        DataHall(said.data_hall),
-        said.slots,
-        said.status,
-        said.version,
-        said.warmup_left_ms,
-        said.started_at_ms,
+        ServiceName(heartbeat.service),
+        _parse_address(heartbeat.address, server_id),
+        DataHall(heartbeat.data_hall),
+        heartbeat.slots,
+        heartbeat.status,
+        heartbeat.version,
+        heartbeat.warmup_left_ms,
+        heartbeat.started_at_ms,
     )
 
 
@@ -87,28 +89,28 @@
     The call itself says that it leaves: unreadable bytes take nothing from that.
     """
     if not body:
-        return UNTOLD
+        return UNKNOWN_START
     try:
-        return _decoded(_farewell_decoder, server_id, body).started_at_ms
+        return _decode(_deregistration_decoder, server_id, body).started_at_ms
     except CinderwayError as error:
         logger.info("%s leaves, and does not say which start: %s", server_id, error)
-        return UNTOLD
+        return UNKNOWN_START
 
 
-def _decoded(decoder: msgspec.json.Decoder, server_id: ServerName, body: bytes) -> Any:
+def _decode(decoder: msgspec.json.Decoder, server_id: ServerName, body: bytes) -> Any:
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise _invalid(f"the heartbeat cannot be read: {error}", server_id) from error
 
 
-def _checked_address(text: str, server_id: ServerName) -> Address:
+def _parse_address(text: str, server_id: ServerName) -> Address:
     host, _, port = text.rpartition(":")
-    is_port = port.isascii() and port.isdigit() and 1 <= int(port) <= HIGHEST_PORT
+    is_port = port.isascii() and port.isdigit() and 1 <= int(port) <= MAX_PORT
     if is_port and _is_ip(host):
         return Address(text)
     raise _invalid(
-        f"address: given {text!r}; allowed: IP-number:port, ports 1 to {HIGHEST_PORT}",
+        f"address: given {text!r}; allowed: IP-number:port, ports 1 to {MAX_PORT}",
         server_id,
     )
 
--- a/src/cinderway/catalog/_machine.py
+++ b/src/cinderway/catalog/_machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine of the catalog.
 
-Its revision is the log index of the newest command that changed anything, so two
-replicas at one revision hold the same catalog, and revisions never go back.
+Its revision is the log index of the newest command that changed the catalog. Replicas
+at the same revision therefore hold the same catalog, and revisions never decrease.
 """
 
 import logging
@@ -32,20 +32,21 @@
 
 logger = logging.getLogger(__name__)
 
-# 139 bytes each in a snapshot. A fleet that has had three servers ended by each of
-# so many requests has other worries.
+# The highest number of refused requests that are stored; each takes 139 bytes of a
+# snapshot. A request is refused once three servers have failed while running it, so a
+# fleet that needs more than this has failures that a longer list would not contain.
 REFUSED_LIMIT = 1_024
 
 
 class Installed(msgspec.Struct, frozen=True):
-    """What a sheet's installation came to: the version now in force."""
+    """The result of installing a sheet; `version` is the one now in force."""
 
     version: int
     is_changed: bool
 
 
 class _State(msgspec.Struct):
-    """A snapshot of the machine."""
+    """A snapshot of the machine, as encoded on disk."""
 
     revision: int
     sheet_revision: int
@@ -55,13 +56,13 @@
     gone: list[tuple[ServerName, int]]
     replicas: list[AnnounceReplica]
     displaced: list[RegisteredServer] = []
-    # None in snapshots of builds that took an id for one start.
+    # None in snapshots of earlier builds, which treated each id as a single start.
     newest: dict[ServerName, NewestStart] | None = None
     refused: list[RefuseRequest] = []
 
 
 class CatalogMachine:
-    """Applies commands; knows what changed since any revision."""
+    """Applies commands and tells what changed since a given revision."""
 
     def __init__(self):
         self.revision = 0
@@ -69,10 +70,11 @@
         self.sheet_body = b""
         self.registry = Registry()
         self.replicas: dict[Address, AnnounceReplica] = {}
-        # No part of the revision: entries hear of these as news.
+        # Changes to these don't advance the revision. Entries receive them as rulings
+        # on requests, not as catalog updates.
         self.refused: dict[RequestDigest, RefuseRequest] = {}
         self._sheet_revision = 0
-        self._packed = b""
+        self._packed_sheet_cache = b""
         self._server_revisions: dict[ServerName, int] = {}
 
     @property
@@ -81,37 +83,43 @@
         return self.sheet is not None
 
     def apply(self, index: int, data: bytes) -> Installed | RegistryChange | None:
-        """Carry out a committed command; one that cannot be read changes nothing.
+        """Apply a committed command; one that cannot be decoded changes nothing.
 
-        Replicas of one build agree on what they cannot read. One that ended there would
-        end again at each start.
+        Skipping it is safe, because replicas of the same build agree on which commands
+        they cannot decode. A replica that exited instead would exit again at every
+        start, when it replays its log.
         """
         try:
             command = decode_command(data)
         except msgspec.MsgspecError as error:
-            logger.error("entry %d of the log is passed over: %s", index, error)
+            logger.error("skipping undecodable log entry %d: %s", index, error)
             return None
         match command:
             case InstallSheet():
-                return self._install(index, command.text)
+                return self._install_sheet(index, command.unpacked_body)
             case Register(server=server):
-                return self._note(index, self.registry.register(server, index))
+                return self._record_change(index, self.registry.register(server, index))
             case Reinstate(server=server):
-                return self._note(index, self.registry.reinstate(server, index))
+                return self._record_change(
+                    index, self.registry.reinstate(server, index)
+                )
             case Deregister(server_id=server_id, started_at_ms=started_at_ms):
                 change = self.registry.deregister(server_id, started_at_ms, index)
-                return self._note(index, change)
+                return self._record_change(index, change)
             case AnnounceReplica() as replica:
                 self.replicas[replica.address] = replica
                 return None
             case RefuseRequest() as refused:
-                return self._refuse(refused)
+                return self._store_refusal(refused)
             case AllowRequest(digest=digest):
                 self.refused.pop(digest, None)
                 return None
 
     def freeze(self) -> Callable[[], bytes]:
-        """Return what encodes the state as of now, later and in another thread."""
+        """Capture the current state and return a function that encodes it.
+
+        The function may be called later and in another thread.
+        """
         state = _State(
             self.revision,
             self._sheet_revision,
@@ -127,13 +135,13 @@
         return lambda: msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """Take over an encoded state; b"" is the first one."""
+        """Load an encoded state; b"" stands for the initial state."""
         if not data:
             return
         state = msgspec.msgpack.decode(data, type=_State)
         self.revision = state.revision
         self._sheet_revision = state.sheet_revision
-        self.sheet_body, self._packed = state.sheet_body, b""
+        self.sheet_body, self._packed_sheet_cache = state.sheet_body, b""
         self.sheet = decode_sheet(state.sheet_body) if state.sheet_body else None
         self.registry.restore(state.servers, state.gone, state.displaced, state.newest)
         self._server_revisions = state.server_revisions
@@ -141,7 +149,7 @@
         self.refused = {refused.digest: refused for refused in state.refused}
 
     def update_since(self, revision: int) -> CatalogUpdate:
-        """Return what one who knows the catalog at a revision lacks."""
+        """Return the changes that bring a given revision up to date."""
         changed = [
             server
             for server_id, server in self.registry.servers.items()
@@ -152,41 +160,41 @@
         return CatalogUpdate(
             base_revision=revision,
             revision=self.revision,
-            packed_sheet=self._packed_sheet() if has_sheet else b"",
+            packed_sheet=self._get_packed_sheet() if has_sheet else b"",
             servers=msgspec.msgpack.encode(changed),
             gone=gone if revision else [],
         )
 
     def replica_addresses(self) -> list[ReplicaAddress]:
-        """Where control replicas are, and in which data halls."""
+        """Return the addresses and data halls of all announced control replicas."""
         return [
             ReplicaAddress(replica.address, replica.data_hall)
             for replica in self.replicas.values()
         ]
 
-    def _packed_sheet(self) -> bytes:
-        """The sheet's small form, made once however many entries get it."""
-        if not self._packed:
-            self._packed = pack(self.sheet_body)
-        return self._packed
+    def _get_packed_sheet(self) -> bytes:
+        """Return the compressed sheet, which is compressed once for all entries."""
+        if not self._packed_sheet_cache:
+            self._packed_sheet_cache = pack(self.sheet_body)
+        return self._packed_sheet_cache
 
-    def _install(self, index: int, body: bytes) -> Installed:
+    def _install_sheet(self, index: int, body: bytes) -> Installed:
         sheet = decode_sheet(body)
         if self.sheet is not None and sheet.version <= self.sheet.version:
             return Installed(self.sheet.version, is_changed=False)
-        self.sheet, self.sheet_body, self._packed = sheet, body, b""
+        self.sheet, self.sheet_body, self._packed_sheet_cache = sheet, body, b""
         self.revision = self._sheet_revision = index
         return Installed(sheet.version, is_changed=True)
 
-    def _refuse(self, refused: RefuseRequest) -> None:
-        """Keep a refusal as the newest; where there are too many the oldest goes."""
+    def _store_refusal(self, refused: RefuseRequest) -> None:
+        """Store a refusal as the newest; beyond the limit, evict the oldest."""
         self.refused.pop(refused.digest, None)
         if len(self.refused) >= REFUSED_LIMIT:
             self.refused.pop(next(iter(self.refused)))
         self.refused[refused.digest] = refused
         logger.info("a refusal is stored: digest %s", refused.digest.hex())
 
-    def _note(self, index: int, change: RegistryChange) -> RegistryChange:
+    def _record_change(self, index: int, change: RegistryChange) -> RegistryChange:
         if not change.is_empty:
             self.revision = index
         for server in change.put:
--- a/src/cinderway/catalog/_mirror.py
+++ b/src/cinderway/catalog/_mirror.py
@@ -29,7 +29,7 @@
         """
         if update.revision <= self.revision or update.base_revision > self.revision:
             return False
-        sheet, servers = self._read(update)
+        sheet, servers = self._decode_update(update)
         if update.base_revision == 0:
             self.servers = {}
         self.sheet = sheet
@@ -40,14 +40,16 @@
         self.revision = update.revision
         return True
 
-    def _read(
+    def _decode_update(
         self, update: CatalogUpdate
     ) -> tuple[RouteSheet | None, list[RegisteredServer]]:
         try:
             servers = _servers_decoder.decode(update.servers)
             if not update.packed_sheet:
                 return self.sheet, servers
-            return self._newer(decode_sheet(unpack(update.packed_sheet))), servers
+            return self._choose_newer_sheet(
+                decode_sheet(unpack(update.packed_sheet))
+            ), servers
         except (msgspec.MsgspecError, zlib.error) as error:
             raise CinderwayError(
                 ErrorCode.FRAME_INVALID,
@@ -55,7 +57,7 @@
                 step=Step.RECEIVE,
             ) from error
 
-    def _newer(self, sheet: RouteSheet) -> RouteSheet:
+    def _choose_newer_sheet(self, sheet: RouteSheet) -> RouteSheet:
         if self.sheet is not None and sheet.version < self.sheet.version:
             return self.sheet
         return sheet
--- a/src/cinderway/catalog/_packing.py
+++ b/src/cinderway/catalog/_packing.py
@@ -8,12 +8,12 @@
 import zlib
 
 # The default of zlib: milliseconds for a sheet of 1,700 routes, once a change.
-LEVEL = 6
+COMPRESSION_LEVEL = 6
 
 
 def pack(body: bytes) -> bytes:
     """Return a sheet's text in its small form."""
-    return zlib.compress(body, LEVEL)
+    return zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
--- a/src/cinderway/catalog/_registry.py
+++ b/src/cinderway/catalog/_registry.py
@@ -1,18 +1,18 @@
-"""The backend servers that announced themselves. Pure.
+"""The registry of backend servers. Pure: no I/O and no clock.
 
-A server may start again under the id that it had. What is known hangs on one start: its
-id and when it started. The first start of an id goes by that id in the fleet, a later
-one by a name of its own, so that nothing that was seen of one start is held against
-another.
+A server may restart and keep its id. The registry therefore tracks individual starts,
+each identified by the server's id and its start time. Within the fleet the first start
+of an id is named by the id itself, and every later start gets a name of its own, so
+that observations of one start are never counted against another.
 
-One start only ever moves one way: registered, leaving, gone; and of an id, only the
-newest start counts. A heartbeat that arrives late can therefore do no harm, in whatever
-order words come.
+The state of a start only moves forward: registered, leaving, gone. Of all starts of an
+id, only the newest one counts. Late heartbeats are therefore harmless, in whatever
+order messages arrive.
 
-Where servers do not tell their starts, one thing it can do: a start that nobody knew
-yet, and that is over, may be heard of only after the next one at its address has
-registered, and takes that one's place. A server whose place was taken so is kept in
-mind, and reinstated when it is heard further.
+There is one exception, for servers that do not report their start time. The first
+heartbeat to arrive from a start that is already over may arrive after the next server
+at the same address has registered. It then displaces that server, although that server
+is alive. Displaced servers are remembered, and reinstated if their heartbeats go on.
 """
 
 from collections import OrderedDict
@@ -22,31 +22,34 @@
 
 from cinderway._ids import Address, DataHall, ServerName, ServiceName
 
-# Starts that are over, kept to recognize heartbeats that arrive late. At 20 restarts a
-# minute that is over three hours; heartbeats are late by seconds.
-GONE_KEPT = 4_096
-# Of a start that its server does not tell.
-UNTOLD = 0
-# Between an id and the number of its start; it may stand in an id, too.
-_NUMBER_MARK = "~"
-# Where control lists registered servers, over HTTP.
+# Number of finished starts that are remembered to recognize late heartbeats. At 20
+# restarts a minute they cover over three hours; heartbeats are late by seconds.
+MAX_GONE_STARTS = 4_096
+# The `started_at_ms` of a server that does not report when it started.
+UNKNOWN_START = 0
+# Separates the id from the number of the start in a start's name. Ids that servers
+# choose may contain it, too.
+_START_NUMBER_SEPARATOR = "~"
+# The HTTP path at which control lists the registered servers.
 SERVERS_PATH = "/v1/servers"
 
 
 class ServerStatus(Enum):
-    """What a server says of itself."""
+    """The status that a server reports in its heartbeats."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
 
 
 class RegisteredServer(msgspec.Struct, frozen=True):
-    """One start of one backend server, by its own word.
-
-    `server_id` names it in the fleet: the id that the server told, but for a later
-    start of an id, whose told id is `first_id`. `started_at_ms` is by the server's own
-    wall clock, UNTOLD where it does not say. `warmup_ms` is how long it was still going
-    to be slow when it registered.
+    """One start of one backend server, as the server described itself.
+
+    `server_id` is the name of the start within the fleet. For the first start of an id
+    it is the id that the server reported, and `first_id` is empty; for a later start it
+    is a generated name, and `first_id` is the reported id. `started_at_ms` is the start
+    time by the server's own wall clock, or UNKNOWN_START if it was not reported.
+    `warmup_ms` is the remaining warm-up time at registration, during which the server
+    is slow.
     """
 
     server_id: ServerName
@@ -57,17 +60,17 @@
     status: ServerStatus
     software: str = ""
     warmup_ms: int = 0
-    started_at_ms: int = UNTOLD
+    started_at_ms: int = UNKNOWN_START
     first_id: ServerName = ServerName("")
 
     @property
     def told_id(self) -> ServerName:
-        """The id by which the server knows itself."""
+        """The id under which the server reports itself."""
         return self.first_id or self.server_id
 
 
 class RegistryChange(msgspec.Struct, frozen=True):
-    """What a command did: the servers to put, and the ids that are gone."""
+    """The result of a command: servers to add or replace, and names to remove."""
 
     put: list[RegisteredServer]
     gone: list[ServerName]
@@ -82,77 +85,89 @@
 
 
 class NewestStart(msgspec.Struct, frozen=True):
-    """The newest known start of an id, and its name in the fleet."""
+    """The newest known start of an id; `name` is its name within the fleet."""
 
     name: ServerName
-    started_at_ms: int = UNTOLD
-    # How many starts the id has had, as far as known.
+    started_at_ms: int = UNKNOWN_START
+    # How many starts the id is known to have had, this one included.
     number: int = 1
 
 
 class Registry:
-    """All registered servers. Same commands in the same order give the same state."""
+    """All registered servers.
+
+    It is deterministic: the same commands in the same order give the same state.
+    """
 
     def __init__(self):
         self.servers: dict[ServerName, RegisteredServer] = {}
+        # The names of removed starts, each with the revision of its removal.
         self.gone: OrderedDict[ServerName, int] = OrderedDict()
-        # Those whose address a start took over that may be the earlier one; they are
-        # among the gone, too.
+        # Servers whose place was taken by a start that may be older. They are in
+        # `gone`, too.
         self.displaced: dict[ServerName, RegisteredServer] = {}
-        # By the id that servers tell.
+        # The newest start of each id that servers reported.
         self.newest: dict[ServerName, NewestStart] = {}
         self._by_address: dict[Address, ServerName] = {}
 
-    def change_of(self, told: RegisteredServer) -> RegistryChange:
-        """Return what registering a server would change, without doing it.
+    def change_of(self, reported: RegisteredServer) -> RegistryChange:
+        """Return what registering a server would change, without applying it.
 
-        A server that is known keeps its first address, service and slots: they cannot
-        change within one start. Its status can, towards leaving only.
+        A registered server keeps the address, service and slots that it registered
+        with, because they cannot change within one start. Its status can change, but
+        only to LEAVING.
         """
-        newest = self.newest.get(told.server_id)
-        if newest is None or _is_later(told, newest):
-            return self._change_by_start(told, newest)
-        if told.started_at_ms and told.started_at_ms < newest.started_at_ms:
+        newest = self.newest.get(reported.server_id)
+        if newest is None or _is_newer_start(reported, newest):
+            return self._compute_new_start_change(reported, newest)
+        if reported.started_at_ms and reported.started_at_ms < newest.started_at_ms:
             return NO_CHANGE
         known = self.servers.get(newest.name)
         if known is None:
             return NO_CHANGE
         changed = known
-        if told.started_at_ms and not known.started_at_ms:
-            changed = msgspec.structs.replace(known, started_at_ms=told.started_at_ms)
-        if told.status is ServerStatus.LEAVING:
+        if reported.started_at_ms and not known.started_at_ms:
+            changed = msgspec.structs.replace(
+                known, started_at_ms=reported.started_at_ms
+            )
+        if reported.status is ServerStatus.LEAVING:
             changed = msgspec.structs.replace(changed, status=ServerStatus.LEAVING)
         return RegistryChange([changed], []) if changed != known else NO_CHANGE
 
-    def register(self, told: RegisteredServer, revision: int) -> RegistryChange:
-        """Take a server's word; return what changed."""
-        change = self.change_of(told)
-        self._carry_out(change, revision)
+    def register(self, reported: RegisteredServer, revision: int) -> RegistryChange:
+        """Apply a server's heartbeat and return what changed."""
+        change = self.change_of(reported)
+        self._apply_change(change, revision)
         return change
 
-    def reinstate(self, told: RegisteredServer, revision: int) -> RegistryChange:
-        """Give a displaced server its place back; return what changed."""
-        known = self.displaced_start_of(told)
+    def reinstate(self, reported: RegisteredServer, revision: int) -> RegistryChange:
+        """Put a displaced server back at its address and return what changed."""
+        known = self.displaced_start_of(reported)
         if known is None:
             return NO_CHANGE
-        if told.status is ServerStatus.LEAVING:
+        if reported.status is ServerStatus.LEAVING:
             known = msgspec.structs.replace(known, status=ServerStatus.LEAVING)
         holder = self._by_address.get(known.address)
         change = RegistryChange([known], [holder] if holder else [])
-        self._carry_out(change, revision)
+        self._apply_change(change, revision)
         return change
 
-    def displaced_start_of(self, told: RegisteredServer) -> RegisteredServer | None:
-        """Return the displaced start whose word this is, if there is one."""
-        newest = self.newest.get(told.server_id)
-        if newest is None or told.started_at_ms != newest.started_at_ms:
+    def displaced_start_of(self, reported: RegisteredServer) -> RegisteredServer | None:
+        """Return the displaced start that sent this heartbeat, or None."""
+        newest = self.newest.get(reported.server_id)
+        if newest is None or reported.started_at_ms != newest.started_at_ms:
             return None
         return self.displaced.get(newest.name)
 
-    def has_left(self, server_id: ServerName, started_at_ms: int = UNTOLD) -> bool:
-        """Whether a start is over for good; the newest known one if none is given."""
+    def has_left(
+        self, server_id: ServerName, started_at_ms: int = UNKNOWN_START
+    ) -> bool:
+        """Whether a start has left for good.
+
+        Without `started_at_ms` this is about the newest known start of the id.
+        """
         newest = self.newest.get(server_id)
-        if newest is None or started_at_ms > newest.started_at_ms > UNTOLD:
+        if newest is None or started_at_ms > newest.started_at_ms > UNKNOWN_START:
             return False
         if started_at_ms and started_at_ms < newest.started_at_ms:
             return True
@@ -161,19 +176,21 @@
     def deregister(
         self, server_id: ServerName, started_at_ms: int, revision: int
     ) -> RegistryChange:
-        """Take a start out for good, known or not; return what changed.
+        """Remove a start for good, known or not, and return what changed.
 
-        Without a start that is the newest known one.
+        Without `started_at_ms` the newest known start of the id is removed.
         """
         if self.has_left(server_id, started_at_ms):
             return NO_CHANGE
         newest = self.newest.get(server_id)
-        if newest is None or started_at_ms > newest.started_at_ms > UNTOLD:
-            return self._leave_unknown(server_id, started_at_ms, newest, revision)
+        if newest is None or started_at_ms > newest.started_at_ms > UNKNOWN_START:
+            return self._deregister_unknown_start(
+                server_id, started_at_ms, newest, revision
+            )
         if newest.name in self.displaced:
             del self.displaced[newest.name]
             return NO_CHANGE
-        self._drop(newest.name, revision)
+        self._remove(newest.name, revision)
         return RegistryChange([], [newest.name])
 
     def restore(
@@ -183,10 +200,10 @@
         displaced: list[RegisteredServer],
         newest: dict[ServerName, NewestStart] | None = None,
     ) -> None:
-        """Take over a snapshot's content.
+        """Load the content of a snapshot.
 
-        Without `newest`, as builds wrote it that took an id for one start, each id is
-        its own newest start.
+        Snapshots of earlier builds, which treated each id as a single start, have no
+        `newest`. Each name in them is then an id and the newest start of that id.
         """
         self.displaced = {server.server_id: server for server in displaced}
         self.servers = {server.server_id: server for server in servers}
@@ -195,105 +212,116 @@
         names = [*self.servers, *self.gone]
         self.newest = newest or {name: NewestStart(name) for name in names}
 
-    def _change_by_start(
-        self, told: RegisteredServer, former: NewestStart | None
+    def _compute_new_start_change(
+        self, reported: RegisteredServer, previous: NewestStart | None
     ) -> RegistryChange:
-        """Return the change by a start that was not known."""
-        holder = self.servers.get(self._by_address.get(told.address))
-        if holder is not None and _is_over(told, holder):
+        """Return the change that registers a start not known before."""
+        holder = self.servers.get(self._by_address.get(reported.address))
+        if holder is not None and _is_outdated_start(reported, holder):
             return NO_CHANGE
         gone = {holder.server_id} if holder is not None else set()
-        if former is not None and former.name in self.servers:
-            gone.add(former.name)
-        name, _ = self._unused_name(told.server_id, former)
-        first_id = told.server_id if name != told.server_id else ServerName("")
-        put = msgspec.structs.replace(told, server_id=name, first_id=first_id)
-        return RegistryChange([put], sorted(gone))
-
-    def _unused_name(
-        self, server_id: ServerName, former: NewestStart | None
+        if previous is not None and previous.name in self.servers:
+            gone.add(previous.name)
+        name, _ = self._find_unused_name(reported.server_id, previous)
+        first_id = reported.server_id if name != reported.server_id else ServerName("")
+        registered = msgspec.structs.replace(
+            reported, server_id=name, first_id=first_id
+        )
+        return RegistryChange([registered], sorted(gone))
+
+    def _find_unused_name(
+        self, server_id: ServerName, previous: NewestStart | None
     ) -> tuple[ServerName, int]:
-        """Return a name that no start has had, and its number among the id's."""
-        number = former.number + 1 if former is not None else 1
+        """Return a name that no known start has, and the start number it holds."""
+        number = previous.number + 1 if previous is not None else 1
         while True:
-            name = _name_of(server_id, number)
+            name = _build_start_name(server_id, number)
             if name not in self.servers and name not in self.gone:
                 return name, number
             number += 1
 
-    def _leave_unknown(
+    def _deregister_unknown_start(
         self,
         server_id: ServerName,
         started_at_ms: int,
-        former: NewestStart | None,
+        previous: NewestStart | None,
         revision: int,
     ) -> RegistryChange:
-        """Note that a start has left that was never heard of."""
-        name, number = self._unused_name(server_id, former)
+        """Record that a start has left that never registered."""
+        name, number = self._find_unused_name(server_id, previous)
         gone = [name]
-        if former is not None and former.name in self.servers:
-            self._drop(former.name, revision)
-            gone.append(former.name)
+        if previous is not None and previous.name in self.servers:
+            self._remove(previous.name, revision)
+            gone.append(previous.name)
         self.newest[server_id] = NewestStart(name, started_at_ms, number)
-        self._drop(name, revision)
+        self._remove(name, revision)
         return RegistryChange([], gone)
 
-    def _carry_out(self, change: RegistryChange, revision: int) -> None:
+    def _apply_change(self, change: RegistryChange, revision: int) -> None:
         for name in change.gone:
-            former = self.servers[name]
-            if not any(_is_certain(former, put) for put in change.put):
-                self.displaced[name] = former
-            self._drop(name, revision)
-        for put in change.put:
-            self.gone.pop(put.server_id, None)
-            self.displaced.pop(put.server_id, None)
-            self.servers[put.server_id] = put
-            self._by_address[put.address] = put.server_id
-            self._note_newest(put)
-
-    def _note_newest(self, put: RegisteredServer) -> None:
-        former = self.newest.get(put.told_id)
-        number = former.number if former is not None else 0
-        if former is None or former.name != put.server_id:
+            previous = self.servers[name]
+            if not any(_is_surely_over(previous, server) for server in change.put):
+                self.displaced[name] = previous
+            self._remove(name, revision)
+        for server in change.put:
+            self.gone.pop(server.server_id, None)
+            self.displaced.pop(server.server_id, None)
+            self.servers[server.server_id] = server
+            self._by_address[server.address] = server.server_id
+            self._record_newest_start(server)
+
+    def _record_newest_start(self, server: RegisteredServer) -> None:
+        previous = self.newest.get(server.told_id)
+        number = previous.number if previous is not None else 0
+        if previous is None or previous.name != server.server_id:
             number += 1
-        self.newest[put.told_id] = NewestStart(put.server_id, put.started_at_ms, number)
+        self.newest[server.told_id] = NewestStart(
+            server.server_id, server.started_at_ms, number
+        )
 
-    def _drop(self, name: ServerName, revision: int) -> None:
+    def _remove(self, name: ServerName, revision: int) -> None:
         known = self.servers.pop(name, None)
         if known and self._by_address.get(known.address) == name:
             del self._by_address[known.address]
         self.gone[name] = revision
-        while len(self.gone) > GONE_KEPT:
-            forgotten, _ = self.gone.popitem(last=False)
-            self.displaced.pop(forgotten, None)
-            self._forget_newest(forgotten)
+        while len(self.gone) > MAX_GONE_STARTS:
+            evicted, _ = self.gone.popitem(last=False)
+            self.displaced.pop(evicted, None)
+            self._remove_newest_start(evicted)
 
-    def _forget_newest(self, name: ServerName) -> None:
-        for server_id in (name, _id_in(name)):
+    def _remove_newest_start(self, name: ServerName) -> None:
+        for server_id in (name, _parse_server_id(name)):
             newest = self.newest.get(server_id)
             if newest is not None and newest.name == name:
                 del self.newest[server_id]
 
 
-def _is_later(told: RegisteredServer, newest: NewestStart) -> bool:
-    return told.started_at_ms > newest.started_at_ms > UNTOLD
+def _is_newer_start(reported: RegisteredServer, newest: NewestStart) -> bool:
+    return reported.started_at_ms > newest.started_at_ms > UNKNOWN_START
+
 
+def _is_outdated_start(reported: RegisteredServer, holder: RegisteredServer) -> bool:
+    """Whether a start must be over because a newer one holds its address."""
+    return UNKNOWN_START < reported.started_at_ms < holder.started_at_ms
 
-def _is_over(told: RegisteredServer, holder: RegisteredServer) -> bool:
-    """Whether a start must be over: a later one has its address."""
-    return UNTOLD < told.started_at_ms < holder.started_at_ms
 
+def _is_surely_over(previous: RegisteredServer, successor: RegisteredServer) -> bool:
+    """Whether a start is surely over, given another that took its place.
 
-def _is_certain(former: RegisteredServer, put: RegisteredServer) -> bool:
-    """Whether it is certain that a start is over where another has been registered."""
-    return UNTOLD < former.started_at_ms < put.started_at_ms
+    That is so only if both start times are known and the other one is later.
+    """
+    return UNKNOWN_START < previous.started_at_ms < successor.started_at_ms
 
 
-def _name_of(server_id: ServerName, number: int) -> ServerName:
-    """Return the name of an id's start: the id itself for the first one."""
-    return ServerName(f"{server_id}{_NUMBER_MARK}{number}") if number > 1 else server_id
+def _build_start_name(server_id: ServerName, number: int) -> ServerName:
+    """Return the fleet-wide name of a start, which for the first one is the id."""
+    return (
+        ServerName(f"{server_id}{_START_NUMBER_SEPARATOR}{number}")
+        if number > 1
+        else server_id
+    )
 
 
-def _id_in(name: ServerName) -> ServerName:
-    """Return the id that a later start's name was made of."""
-    return ServerName(name.rpartition(_NUMBER_MARK)[0])
+def _parse_server_id(name: ServerName) -> ServerName:
+    """Return the id contained in the name of a later start."""
+    return ServerName(name.rpartition(_START_NUMBER_SEPARATOR)[0])
--- a/src/cinderway/catalog/_routes.py
+++ b/src/cinderway/catalog/_routes.py
@@ -21,7 +21,7 @@
 
     def match(self, host: str, path: str) -> RouteRow | None:
         """Return the route of a request, or None where no route fits."""
-        prefixes = self._by_host.get(_without_port(host).lower())
+        prefixes = self._by_host.get(_strip_port(host).lower())
         if prefixes is None:
             return None
         end = len(path)
@@ -45,6 +45,6 @@
     return rng.choices([part.service for part in parts], weights)[0]
 
 
-def _without_port(host: str) -> str:
+def _strip_port(host: str) -> str:
     name, colon, port = host.rpartition(":")
     return name if colon and port.isdigit() else host
--- a/src/cinderway/catalog/_sheet.py
+++ b/src/cinderway/catalog/_sheet.py
@@ -120,7 +120,7 @@
     _check_services(sheet)
     for route in sheet.routes:
         _check_route(route, {service.name for service in sheet.services})
-    _check_places(sheet)
+    _check_unique_prefixes(sheet)
     check_accounts(sheet.accounts or [])
     return sheet
 
@@ -159,9 +159,11 @@
             )
 
 
-def _check_places(sheet: RouteSheet) -> None:
-    places = Counter((route.host.lower(), route.path_prefix) for route in sheet.routes)
-    for (host, prefix), count in places.items():
+def _check_unique_prefixes(sheet: RouteSheet) -> None:
+    prefix_counts = Counter(
+        (route.host.lower(), route.path_prefix) for route in sheet.routes
+    )
+    for (host, prefix), count in prefix_counts.items():
         if count > 1:
             raise _invalid(
                 f"{count} routes have host {host!r} and path prefix {prefix!r}; "
--- a/tests/catalog/test_heartbeats.py
+++ b/tests/catalog/test_heartbeats.py
@@ -8,7 +8,7 @@
 from cinderway._errors import CinderwayError, ErrorCode
 from cinderway._ids import ServerName
 from cinderway.catalog import (
-    UNTOLD,
+    UNKNOWN_START,
     CatalogMirror,
     Register,
     check_server_id,
@@ -101,8 +101,8 @@
 class FarewellTests(unittest.TestCase):
     @given(st.binary(max_size=200))
     def test_a_server_that_leaves_is_believed_whatever_it_adds(self, body):
-        self.assertGreaterEqual(decode_farewell(SERVER, body), UNTOLD)
+        self.assertGreaterEqual(decode_farewell(SERVER, body), UNKNOWN_START)
 
     def test_it_may_say_which_start_leaves(self):
         self.assertEqual(decode_farewell(SERVER, b'{"started_at_ms": 7}'), 7)
-        self.assertEqual(decode_farewell(SERVER, b""), UNTOLD)
+        self.assertEqual(decode_farewell(SERVER, b""), UNKNOWN_START)
