--- a/src/cinderway/catalog/_accounts.py
+++ b/src/cinderway/catalog/_accounts.py
@@ -1,7 +1,7 @@
-"""Client accounts of a route sheet: their keys, and what each account may send.
+"""Client accounts of a route sheet: their keys and rate limits.
 
-Keys are secrets. They stand in the sheet and in an index of digests; neither shows them
-when it is printed, and no error names one.
+Keys are secrets. The sheet holds them, and an index holds their digests. Neither shows
+a key when it is printed, and no error message contains one.
 """
 
 import hashlib
@@ -14,18 +14,18 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import AccountName, ApiKey
 
-# A digest of this length is not guessed, and two keys do not share one by chance.
+# Long enough that a digest cannot be guessed and two keys don't collide by chance.
 DIGEST_BYTES = 16
-# Where control lists accounts and their use, over HTTP.
+# The HTTP path at which control lists accounts and their token use.
 ACCOUNTS_PATH = "/v1/accounts"
 
 
 class AccountRow(msgspec.Struct, frozen=True, kw_only=True):
-    """One client account: its keys, its rank and its allowance.
+    """One client account: its keys, its priority and its allowance.
 
     `rate_per_s` is how many requests a second it may send in the long run, and `burst`
-    how many beyond that at once; without a rate there is no limit. `priority` goes
-    before its routes' where it is given; 0 is the highest.
+    how many beyond that at once. Without a rate, or with rate 0, there is no limit.
+    `priority`, if given, overrides the priority of the route; 0 is the highest.
     """
 
     name: AccountName
@@ -36,19 +36,20 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether the account has an allowance at all."""
+        """Whether the account has a rate limit."""
         return bool(self.rate_per_s)
 
     def __repr__(self) -> str:
-        """Return the row's text without its keys."""
+        """Return a description that leaves out the keys."""
         return f"AccountRow({self.name!r}, {len(self.keys)} keys)"
 
 
 class AccountUse(msgspec.Struct, frozen=True):
-    """One account as a replica shows it to operators: without its keys.
+    """One account as a replica shows it to operators, without its keys.
 
-    `charged` tokens are held or were used within a window, of the `share` that this
-    replica hands out and of `borrowed` ones.
+    `charged` counts the tokens that are held or were used within the last window. They
+    come out of `share`, the tokens that this replica may grant, and `borrowed`, those
+    that it borrowed from other replicas.
     """
 
     name: AccountName
@@ -62,10 +63,10 @@
 
 
 class AccountIndex:
-    """Finds the account that holds a key.
+    """Finds the account that a key belongs to.
 
-    Keys are looked up by a digest under a secret of this process, so that the time of a
-    look-up says nothing of how much of a key was right.
+    Keys are looked up by a digest keyed with a secret of this process, so that the time
+    a look-up takes does not reveal how much of a guessed key is correct.
     """
 
     def __init__(self, accounts: list[AccountRow]):
@@ -75,7 +76,7 @@
         }
 
     def account_of(self, key: ApiKey) -> AccountRow | None:
-        """Return the account that holds a key now, or None."""
+        """Return the account that a key belongs to, or None."""
         return self._by_digest.get(self._digest(key))
 
     def _digest(self, key: ApiKey) -> bytes:
@@ -86,14 +87,18 @@
 
 
 def check_accounts(accounts: list[AccountRow]) -> None:
-    """Raise CinderwayError with SHEET_INVALID that names the account and the column."""
+    """Validate accounts.
+
+    Raises CinderwayError with SHEET_INVALID, and a detail that names the account and
+    the column.
+    """
     for account in accounts:
         for problem in _find_problems(account):
             raise _invalid(problem)
     names = Counter(account.name for account in accounts)
     for name, count in names.items():
         if count > 1:
-            raise _invalid(f"account {name!r} stands {count} times; once is allowed")
+            raise _invalid(f"account {name!r} occurs {count} times; once is allowed")
     holders: dict[ApiKey, AccountName] = {}
     for account in accounts:
         for key in account.keys:
@@ -101,7 +106,7 @@
             if holder != account.name:
                 raise _invalid(
                     f"accounts {holder!r} and {account.name!r} share a key; "
-                    "keys: each of one account alone is allowed"
+                    "keys: each must belong to only one account"
                 )
 
 
@@ -110,8 +115,11 @@
     if not name:
         yield "an account's name is empty"
     elif not (name.isascii() and name.isprintable() and name == name.strip()):
-        # It goes to backend servers in a header.
-        yield f"account {name!r}: name: printable ASCII without outer blanks is allowed"
+        # The name is sent to backend servers in a header.
+        yield (
+            f"account {name!r}: name: printable ASCII without leading or trailing "
+            "spaces is allowed"
+        )
     if not all(account.keys):
         yield f"account {name!r}: keys: one is empty"
     for column in ("rate_per_s", "burst"):
--- a/src/cinderway/catalog/_commands.py
+++ b/src/cinderway/catalog/_commands.py
@@ -1,7 +1,7 @@
 """The commands that control replicates to change the catalog.
 
-Their encoding stands in logs on disk: a field may be added with a default, but neither
-renamed there nor removed.
+Logs on disk contain encoded commands. A field may be added with a default, but its
+encoded name must not change, and it must not be removed.
 """
 
 import msgspec
@@ -12,10 +12,10 @@
 
 
 class InstallSheet(msgspec.Struct, frozen=True, tag="sheet"):
-    """Put a route sheet in force, unless its version does not exceed the one held.
+    """Install a route sheet if its version is higher than the installed one.
 
-    `body` is a checked sheet as its operator sent it, in logs of earlier versions;
-    commands that are made now hold it packed.
+    `packed` is the compressed text of a validated sheet, as the operator sent it. In
+    logs of earlier builds `body` holds the text uncompressed instead.
     """
 
     body: bytes = b""
@@ -23,31 +23,32 @@
 
     @classmethod
     def of(cls, body: bytes) -> "InstallSheet":
-        """Return the command that puts a checked sheet in force."""
+        """Return the command that installs a validated sheet."""
         return cls(packed=pack(body))
 
     @property
     def unpacked_body(self) -> bytes:
-        """The sheet as its operator sent it."""
+        """The text of the sheet as the operator sent it."""
         return unpack(self.packed) if self.packed else self.body
 
 
 class Register(msgspec.Struct, frozen=True, tag="register"):
-    """Take a backend server's heartbeat that says something new."""
+    """Register a backend server from a heartbeat with new information."""
 
     server: RegisteredServer
 
 
 class Reinstate(msgspec.Struct, frozen=True, tag="reinstate"):
-    """Give a server its place back that a late heartbeat of an earlier start took."""
+    """Put back a server that a late heartbeat of an earlier start displaced."""
 
     server: RegisteredServer
 
 
 class Deregister(msgspec.Struct, frozen=True, tag="deregister"):
-    """Take a start of a backend server out for good.
+    """Remove a start of a backend server for good.
 
-    Without `started_at_ms`, as earlier versions wrote it, the newest known one.
+    Without `started_at_ms`, as written by earlier builds, the newest known start of the
+    id is removed.
     """
 
     server_id: ServerName
@@ -55,23 +56,23 @@
 
 
 class AnnounceReplica(msgspec.Struct, frozen=True, tag="replica"):
-    """Tell the fleet where a control replica is, and in which data hall.
+    """Announce the addresses and the data hall of a control replica.
 
-    `address` is where the fleet's own processes reach it, `http_address` where
-    operators and backend servers do.
+    The fleet's own processes reach it at `address`, operators and backend servers at
+    `http_address`.
     """
 
     address: Address
     data_hall: DataHall
-    # Encoded under its first name: logs and snapshots on disk hold it so.
+    # Encoded under its original name, which logs and snapshots on disk contain.
     http_address: Address = msgspec.field(name="operators_address")
 
 
 class RefuseRequest(msgspec.Struct, frozen=True, tag="refuse"):
-    """Keep that a request is not sent to servers, also when all power is lost.
+    """Store that a request must not be sent to servers, so that it survives power loss.
 
-    `until_ms` is the Unix time at which that ends, by the leader's clock; the other
-    fields are those of `cinderway.poison.Ruling`.
+    `until_ms` is the Unix time at which the refusal expires, by the leader's clock. The
+    other fields are those of `cinderway.poison.Ruling`.
     """
 
     digest: RequestDigest
@@ -79,12 +80,12 @@
     until_ms: int
     servers: list[ServerName]
     refusals: int
-    # By an operator.
+    # Whether an operator refused the request.
     is_barred: bool = False
 
 
 class AllowRequest(msgspec.Struct, frozen=True, tag="allow"):
-    """Forget that a request is refused."""
+    """Remove the stored refusal of a request."""
 
     digest: RequestDigest
 
@@ -104,10 +105,10 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Return the bytes that go into the replicated log."""
+    """Return the bytes of a command for the replicated log."""
     return _encoder.encode(command)
 
 
 def decode_command(data: bytes) -> Command:
-    """Return the command that `encode_command` gave these bytes for."""
+    """Return the command that `encode_command` encoded as these bytes."""
     return _decoder.decode(data)
--- a/src/cinderway/catalog/_conversation.py
+++ b/src/cinderway/catalog/_conversation.py
@@ -1,8 +1,8 @@
-"""What entries and control replicas say to each other about the catalog.
+"""The messages that entries and control replicas exchange about the catalog.
 
-An entry follows one replica, in its own data hall if there is one, and keeps a second
-connection to another that stands by. Nothing is said while nothing changes, but for a
-small heartbeat of each that tells how old the replica's own knowledge is.
+An entry follows one replica, in its own data hall if there is one, and keeps a standby
+connection to a second one. While nothing changes, the only traffic on each connection
+is a small heartbeat that tells how old the replica's own state is.
 """
 
 from cinderway._ids import (
@@ -27,26 +27,26 @@
 
 
 class ReplicaAddress(Message, frozen=True):
-    """A control replica's address and the data hall that it stands in."""
+    """The address of a control replica and the data hall that it runs in."""
 
     address: Address
     data_hall: DataHall
 
 
 class FindReplicas(Message, frozen=True):
-    """Ask where control replicas are."""
+    """Request the addresses of the control replicas."""
 
 
 class ReplicasAnswer(Message, frozen=True):
-    """All control replicas that announced themselves."""
+    """Answers FindReplicas with all control replicas that announced themselves."""
 
     replicas: list[ReplicaAddress]
 
 
 class FollowCatalog(Message, frozen=True):
-    """Ask for the catalog beyond a revision, and for all changes from then on.
+    """Request the changes since a revision, and a stream of all later ones.
 
-    `peers_address` is where the hall's other entries may tell this one their news.
+    `peers_address` is where other entries of the data hall can send gossip to this one.
     """
 
     entry: EntryName
@@ -56,22 +56,26 @@
 
 
 class StandBy(Message, frozen=True):
-    """Ask for heartbeats only: the entry follows another replica, and may turn here."""
+    """Request heartbeats only, from a replica that serves as the entry's standby.
+
+    The entry follows another replica and may switch to this one.
+    """
 
     entry: EntryName
 
 
 class FetchCatalog(Message, frozen=True):
-    """Ask once for what changed beyond a revision; the answer is a CatalogUpdate."""
+    """Request the changes since a revision once; the answer is a CatalogUpdate."""
 
     known_revision: int
 
 
 class CatalogUpdate(Message, frozen=True):
-    """What changed between two revisions.
+    """The changes between two revisions.
 
-    `packed_sheet` is the whole route sheet where it changed, else empty; `servers` are
-    the registered servers that changed, encoded as MessagePack.
+    `packed_sheet` is the whole route sheet, compressed, if it changed, and empty
+    otherwise. `servers` are the registered servers that changed, encoded as
+    MessagePack. `gone` names the servers that were removed.
     """
 
     base_revision: int
@@ -82,10 +86,10 @@
 
 
 class CatalogHeartbeat(Message, frozen=True):
-    """A replica's word that it is there.
+    """Tells that a replica is alive and how stale its state may be.
 
-    What it hands out is at most `knowledge_age_ms` old: all that a leader of the group
-    had committed then is applied here. `entries` is how many entries follow it.
+    The replica has applied everything that a leader of the replication group had
+    committed `knowledge_age_ms` ago. `entries` is how many entries follow it.
     """
 
     knowledge_age_ms: int
@@ -94,10 +98,11 @@
 
 
 class EvidenceBatch(PackedMessage, frozen=True):
-    """One entry's observations of backend servers, encoded as MessagePack.
+    """One entry's observations of backend servers.
 
-    `first_requests` counts, by service, the requests that came in since the last
-    batch, each once however often it was sent.
+    `servers` are the observations, encoded as MessagePack. `first_requests` counts, for
+    each of `services`, the requests that callers sent since the last batch; a request
+    counts once, however many attempts were made for it.
     """
 
     entry: EntryName
@@ -108,9 +113,10 @@
 
 
 class TakeRetry(Message, frozen=True):
-    """Ask for one retry out of the budget that the hall's entries share.
+    """Request one retry from the budget that the entries of a data hall share.
 
-    `after_failure` tells one after a failure from one beside an attempt that is slow.
+    `after_failure` is true for a retry of a failed attempt, and false for a hedge that
+    runs beside a slow attempt.
     """
 
     service: ServiceName
@@ -118,13 +124,13 @@
 
 
 class RetryAnswer(Message, frozen=True):
-    """Whether the retry may be sent."""
+    """Answers TakeRetry with whether the retry may be sent."""
 
     is_granted: bool
 
 
 class VerdictLine(PackedRow, frozen=True):
-    """What a replica judges of one server from its entries' observations."""
+    """A replica's verdict on one server, from the observations of its entries."""
 
     service: ServiceName
     server: ServerName
@@ -135,10 +141,9 @@
 
 
 class ServicePace(PackedRow, frozen=True):
-    """How long a service takes to answer, as the own hall's entries see it.
+    """The latency quantiles of a service, as the entries of the own data hall see it.
 
-    Half of the answers come within `usual_ms`, nine tenths within `slow_ms`, and 19 of
-    20 within `late_ms`.
+    `usual_ms` is the median, `slow_ms` the 90th and `late_ms` the 95th percentile.
     """
 
     service: ServiceName
@@ -148,9 +153,9 @@
 
 
 class VerdictBatch(PackedMessage, frozen=True):
-    """All servers that are not plainly healthy, and how long services take.
+    """Verdicts on all servers that are not fully healthy, and the services' latencies.
 
-    It holds until the next batch or until the conversation ends.
+    A batch is valid until the next one arrives or the connection closes.
     """
 
     lines: list[VerdictLine]
@@ -160,24 +165,24 @@
 class SuspectServers(PackedMessage, frozen=True):
     """Servers that have just failed a request, and for how long to avoid each.
 
-    With no time left, a server is suspect no longer.
+    A server with zero in `for_ms` is no longer suspect.
     """
 
     servers: list[ServerName]
     for_ms: list[int]
 
 
-# Stands for a load that the teller does not know.
+# The `load` of a server whose load the sender does not know.
 NO_LOAD = -1.0
 
 
 class ServerLoad(PackedRow, frozen=True):
-    """How full a server is, as a share of its slots, requests that wait included.
+    """The load of a server: running and queued requests as a fraction of its slots.
 
-    `load` is NO_LOAD where the teller has heard nothing new from the server.
-    `in_flight` is how many requests are under way there as far as the teller knows: an
-    entry tells its own, a replica tells replicas those of the entries that follow it,
-    and entries those of the whole fleet.
+    `load` is NO_LOAD if the sender has no new report from the server. `in_flight` is
+    how many requests are in flight to the server. An entry sends the number of its own
+    requests. A replica sends other replicas the total of the entries that follow it,
+    and sends entries the total of the whole fleet.
     """
 
     server: ServerName
@@ -186,26 +191,31 @@
 
 
 class ServerLoads(PackedMessage, frozen=True):
-    """What an entry has just come to know of servers' loads.
+    """An entry's newest observations of the loads of servers.
 
-    It tells of servers that it has just sent a request to or had an answer from; its
-    replica passes that on to the other entries of the hall.
+    They cover servers to which the entry has just sent a request, or from which it has
+    just received an answer. The replica that it follows forwards them to the other
+    entries of the data hall.
     """
 
     servers: list[ServerLoad]
 
 
 class HallEntries(Message, frozen=True):
-    """Where the entries of the hall hear each other while control is away."""
+    """The addresses at which the entries of a data hall receive each other's gossip.
+
+    They use them while no control replica is reachable.
+    """
 
     addresses: list[Address]
 
 
 class HeldAllowance(PackedRow, frozen=True):
-    """What a holder has of one account's tokens, and what it would like.
+    """The tokens of one account that a holder has, and those that it requests.
 
-    `used` counts those used since it last said so; `needed` are for requests that wait,
-    `wanted` these and what it would save up.
+    `used` counts the tokens consumed since the holder last reported, and `held` those
+    that it has left. `needed` is how many tokens waiting requests need; `wanted` adds
+    to these what the holder would like to keep in reserve.
     """
 
     account: AccountName
@@ -216,19 +226,20 @@
 
     @classmethod
     def of(cls, account: AccountName, ask: TokenAsk) -> "HeldAllowance":
-        """Return the line that brings an ask to a replica."""
+        """Return the row that carries a token request to a replica."""
         return cls(account, ask.used, ask.held, ask.needed, ask.wanted)
 
     @property
     def ask(self) -> TokenAsk:
-        """The ask that `of` made this line from."""
+        """The token request that this row carries, as it was given to `of`."""
         return TokenAsk(self.used, self.held, self.needed, self.wanted)
 
 
 class AskAllowances(PackedMessage, frozen=True):
-    """Tell a replica of tokens used and held, and ask for more.
+    """Reports to a replica the tokens used and held, and requests more.
 
-    `replica` is the address of the one that asks, if a replica would borrow.
+    If the sender is a replica that wants to borrow tokens, `replica` is its address;
+    otherwise it is empty.
     """
 
     lines: list[HeldAllowance]
@@ -236,9 +247,9 @@
 
 
 class GrantedAllowance(PackedRow, frozen=True):
-    """How many tokens of one account were added.
+    """The number of tokens granted for one account.
 
-    Where these are fewer than needed, `room_in_ms` says when there may be more.
+    If fewer tokens than needed were granted, more may be available in `room_in_ms`.
     """
 
     account: AccountName
@@ -247,10 +258,10 @@
 
 
 class GrantAllowances(PackedMessage, frozen=True):
-    """A replica's answer to AskAllowances, line by line.
+    """Answers AskAllowances, with one line for each line of the request.
 
-    All that is held may be used for `lease_ms` from when the asker asked. Limits count
-    in spans of `window_ms`.
+    All tokens that the requester holds are valid for `lease_ms`, counted from when it
+    sent the request. Rate limits apply to windows of `window_ms`.
     """
 
     lines: list[GrantedAllowance]
@@ -259,7 +270,7 @@
 
 
 class SubmitCommand(Message, frozen=True):
-    """One replica asks the leader to replicate a command for it."""
+    """Sent by a replica to ask the leader to replicate a command for it."""
 
     data: bytes
 
--- a/src/cinderway/catalog/_heartbeats.py
+++ b/src/cinderway/catalog/_heartbeats.py
@@ -1,7 +1,7 @@
-"""What backend servers say of themselves, read from bytes that anybody may write.
+"""Parses the heartbeats of backend servers, which are untrusted input.
 
-A heartbeat that cannot be read, or that says what no server can be, names no server to
-use: it is refused with what was given and what is allowed, and all that is known stays.
+A heartbeat that cannot be decoded, or that has impossible values, is rejected with an
+error that says what was given and what is allowed. It changes nothing in the registry.
 """
 
 import ipaddress
@@ -16,22 +16,25 @@
 
 logger = logging.getLogger(__name__)
 
-# Far above any id; what is kept of one is sent to every entry.
+# Far longer than any real id. Ids need a limit, because each stored id is sent to every
+# entry.
 MAX_ID_LENGTH = 200
 MAX_PORT = 65_535
 
-# What fields may hold. Numbers are kept in 64 bits; no slots would be divided by.
+# The allowed values of fields. Numbers must fit into 64 bits. `slots` must not be zero,
+# because loads are divided by it.
 IdText = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ID_LENGTH)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 WholeMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a backend server says of itself; its id stands in the path.
+    """The body of a heartbeat; the server's id is in the path of the request.
 
-    `started_at_ms` tells its starts apart; UNTOLD where it does not say. `sequence`
-    grows with each call. Nothing depends on it: within one start a server only ever
-    moves from active to leaving, whatever the order calls arrive in.
+    `started_at_ms` tells the starts of a server apart, and is UNKNOWN_START if the
+    server does not report it. `sequence` grows with each heartbeat, but nothing depends
+    on it: within one start a server only changes from active to leaving, in whatever
+    order its heartbeats arrive.
     """
 
     service: IdText
@@ -46,7 +49,7 @@
 
 
 class Deregistration(msgspec.Struct, frozen=True):
-    """What a server that leaves for good may say of itself."""
+    """The optional body of the call by which a server deregisters for good."""
 
     started_at_ms: WholeMilliseconds = UNKNOWN_START
 
@@ -56,18 +59,19 @@
 
 
 def check_server_id(text: str) -> ServerName:
-    """Return an id; raises CinderwayError with HEARTBEAT_INVALID if it can be none."""
+    """Return a valid id; raises CinderwayError with HEARTBEAT_INVALID otherwise."""
     if not 1 <= len(text) <= MAX_ID_LENGTH:
         raise _invalid(
-            f"an id of {len(text)} characters; allowed: 1 to {MAX_ID_LENGTH}"
+            f"the id has {len(text)} characters; allowed: 1 to {MAX_ID_LENGTH}"
         )
     return ServerName(text)
 
 
 def decode_heartbeat(server_id: ServerName, body: bytes) -> RegisteredServer:
-    """Return the server that a heartbeat tells of.
+    """Return the server that a heartbeat describes.
 
-    Raises CinderwayError with HEARTBEAT_INVALID that says what was given and allowed.
+    Raises CinderwayError with HEARTBEAT_INVALID, and a detail that says what was given
+    and what is allowed.
     """
     heartbeat = _decode(_heartbeat_decoder, server_id, body)
     return RegisteredServer(
@@ -84,16 +88,20 @@
 
 
 def decode_farewell(server_id: ServerName, body: bytes) -> int:
-    """Return which start a server says has left, UNTOLD for the newest known one.
+    """Return the start time of the start that leaves.
 
-    The call itself says that it leaves: unreadable bytes take nothing from that.
+    It is UNKNOWN_START, which stands for the newest known start, if the body is empty
+    or cannot be decoded: the call itself says that the server leaves, so a bad body
+    does not invalidate it.
     """
     if not body:
         return UNKNOWN_START
     try:
         return _decode(_deregistration_decoder, server_id, body).started_at_ms
     except CinderwayError as error:
-        logger.info("%s leaves, and does not say which start: %s", server_id, error)
+        logger.info(
+            "%s deregisters without a readable start time: %s", server_id, error
+        )
         return UNKNOWN_START
 
 
@@ -101,7 +109,9 @@
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise _invalid(f"the heartbeat cannot be read: {error}", server_id) from error
+        raise _invalid(
+            f"the heartbeat cannot be decoded: {error}", server_id
+        ) from error
 
 
 def _parse_address(text: str, server_id: ServerName) -> Address:
--- a/src/cinderway/catalog/_mirror.py
+++ b/src/cinderway/catalog/_mirror.py
@@ -1,4 +1,7 @@
-"""An entry's copy of the catalog. Pure; it never goes back to an older revision."""
+"""An entry's copy of the catalog.
+
+Pure: no I/O. It never goes back to an older revision.
+"""
 
 import zlib
 
@@ -15,7 +18,7 @@
 
 
 class CatalogMirror:
-    """The catalog as of a revision."""
+    """A copy of the catalog as of one revision."""
 
     def __init__(self):
         self.revision = 0
@@ -23,9 +26,11 @@
         self.servers: dict[ServerName, RegisteredServer] = {}
 
     def install(self, update: CatalogUpdate) -> bool:
-        """Take an update; False if it is not newer or does not fit what is held.
+        """Apply an update; return whether it was applied.
 
-        Raises CinderwayError, and changes nothing, if it cannot be read.
+        An update is ignored if it is not newer, or if its base revision is one that
+        this copy has not reached. Raises CinderwayError, and changes nothing, if the
+        update cannot be decoded.
         """
         if update.revision <= self.revision or update.base_revision > self.revision:
             return False
@@ -53,7 +58,8 @@
         except (msgspec.MsgspecError, zlib.error) as error:
             raise CinderwayError(
                 ErrorCode.FRAME_INVALID,
-                f"the update to catalog {update.revision} cannot be read: {error}",
+                f"the update to catalog revision {update.revision} cannot be decoded: "
+                f"{error}",
                 step=Step.RECEIVE,
             ) from error
 
--- a/src/cinderway/catalog/_packing.py
+++ b/src/cinderway/catalog/_packing.py
@@ -1,21 +1,22 @@
-"""Sheets made small for the way: to replicas, onto their disks and to entries.
+"""Compression of route sheets, for sending to replicas and entries and for storage.
 
-A sheet is text that repeats itself, and the whole of it goes to every process with each
-change. Packed, it leaves a narrow link to callers while changes come in quick
-succession.
+A sheet is repetitive text, and every change sends the whole sheet to every process.
+Compressed, it leaves a slow link enough bandwidth for callers while changes come in
+quick succession.
 """
 
 import zlib
 
-# The default of zlib: milliseconds for a sheet of 1,700 routes, once a change.
+# The default level of zlib. It takes milliseconds for a sheet of 1,700 routes, and each
+# change is compressed once.
 COMPRESSION_LEVEL = 6
 
 
 def pack(body: bytes) -> bytes:
-    """Return a sheet's text in its small form."""
+    """Return the compressed text of a sheet."""
     return zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the text that `pack` gave these bytes for."""
+    """Return the text that `pack` compressed to these bytes."""
     return zlib.decompress(packed)
--- a/src/cinderway/catalog/_refusals.py
+++ b/src/cinderway/catalog/_refusals.py
@@ -1,4 +1,4 @@
-"""What operators see of requests under which servers ended."""
+"""How operators see and name requests during which backend servers failed."""
 
 import msgspec
 
@@ -6,14 +6,16 @@
 from cinderway._ids import RequestDigest, ServerName
 from cinderway.poison import DIGEST_BYTES, Ruling
 
+# The HTTP path at which control lists these requests.
 REFUSALS_PATH = "/v1/refusals"
 
 
 class RefusalRow(msgspec.Struct, frozen=True):
-    """One request's standing, as a replica knows it.
+    """The standing of one request, as a replica knows it.
 
-    `digest` is the one of the log lines, as hexadecimal digits; `refusals` counts the
-    times that it was refused, with chances in between.
+    `digest` is the request's digest in hexadecimal digits, as in log lines. `left_ms`
+    is how long the standing lasts. `refusals` counts how often the request was refused;
+    between two refusals it was allowed to run again.
     """
 
     digest: str
@@ -24,7 +26,7 @@
 
     @classmethod
     def of(cls, ruling: Ruling, now_ms: int) -> "RefusalRow":
-        """Return the row that tells an operator of a ruling."""
+        """Return the row that shows a ruling to an operator."""
         return cls(
             ruling.digest.hex(),
             ruling.standing.name.lower(),
@@ -35,7 +37,10 @@
 
 
 def parse_digest(text: str) -> RequestDigest:
-    """Return the digest that an operator names; raises CinderwayError."""
+    """Return the digest that an operator gave in hexadecimal digits.
+
+    Raises CinderwayError with DIGEST_INVALID.
+    """
     try:
         found = bytes.fromhex(text)
     except ValueError:
--- a/src/cinderway/catalog/_routes.py
+++ b/src/cinderway/catalog/_routes.py
@@ -1,7 +1,7 @@
-"""Find a request's route: the longest path prefix among its host's routes.
+"""Finds the route of a request: the one of its host with the longest path prefix.
 
-Prefixes match as written and end with a slash; hosts match without port and in any
-case. Pure: randomness is passed in.
+Path prefixes end with a slash and are compared as written. Hosts are compared without
+the port and regardless of case. Pure: randomness is passed in.
 """
 
 import random
@@ -11,7 +11,10 @@
 
 
 class RouteIndex:
-    """Routes by host and path prefix; a look-up costs the path's depth."""
+    """Routes by host and path prefix.
+
+    The cost of a look-up grows with the number of segments of the path.
+    """
 
     def __init__(self, sheet: RouteSheet):
         self._by_host: dict[str, dict[str, RouteRow]] = {}
@@ -20,7 +23,7 @@
             prefixes[route.path_prefix] = route
 
     def match(self, host: str, path: str) -> RouteRow | None:
-        """Return the route of a request, or None where no route fits."""
+        """Return the route of a request, or None if no route matches."""
         prefixes = self._by_host.get(_strip_port(host).lower())
         if prefixes is None:
             return None
@@ -35,7 +38,7 @@
 
 
 def pick_service(route: RouteRow, rng: random.Random) -> ServiceName:
-    """Draw one of a route's services by weight; equal shares where all weigh 0."""
+    """Draw one of a route's services by weight, or evenly if all weights are 0."""
     parts = route.parts
     if len(parts) == 1:
         return parts[0].service
--- a/src/cinderway/catalog/_sheet.py
+++ b/src/cinderway/catalog/_sheet.py
@@ -1,8 +1,8 @@
-"""The route sheet: one row a route, a service, a client account; limits on callers.
+"""The route sheet: routes, services, client accounts and limits on callers.
 
-A sheet is replaced as a whole. It carries the operator's own version; the highest
-version wins. The bytes that the operator sent are kept, so that what is read back is
-what was put.
+A sheet is replaced as a whole. Operators number its versions; the highest version wins.
+The bytes that the operator sent are kept, so that reading the sheet back returns
+exactly these.
 """
 
 from collections import Counter
@@ -14,7 +14,7 @@
 from cinderway._ids import ServiceName
 from cinderway.catalog._accounts import AccountRow, check_accounts
 
-# What holds where a sheet gives no value.
+# Defaults for values that a sheet does not give.
 DEFAULT_HEADER_LIMIT_BYTES = 16 * 1024
 DEFAULT_BODY_LIMIT_BYTES = 64 * 1024 * 1024
 DEFAULT_HEADER_TIMEOUT_MS = 3_000
@@ -23,7 +23,11 @@
 
 
 class RouteKind(Enum):
-    """How often a request of a route may run, and how large its answers are."""
+    """How often a request of a route may run, and how large its answers are.
+
+    REPEATABLE and DOWNLOAD requests may run more than once; the answers of DOWNLOAD
+    are large.
+    """
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -31,22 +35,22 @@
 
 
 class _Row(msgspec.Struct, frozen=True, kw_only=True):
-    """Base of all rows. Fields that this version does not know are passed over."""
+    """Base of all rows. Fields that this build does not know are ignored."""
 
 
 class SplitPart(_Row, frozen=True, kw_only=True):
-    """One of several services that share a route's requests by weight."""
+    """One of several services among which a route's requests are split by weight."""
 
     service: ServiceName
     weight: float
 
 
 class RouteRow(_Row, frozen=True, kw_only=True):
-    """One route: which requests it takes, where they go and what holds for them.
+    """One route: which requests it matches, where they go and which limits apply.
 
-    Exactly one of `service` and `split` names where requests go. `objective_ms` is the
-    time within which an answer counts as a good one. Priority 0 is the highest.
-    A public route takes requests without a key where the sheet has accounts.
+    Exactly one of `service` and `split` says where requests go. `objective_ms` is the
+    time within which an answer counts as good. Priority 0 is the highest. A public
+    route accepts requests without a key even if the sheet has accounts.
     """
 
     name: str
@@ -63,7 +67,7 @@
 
     @property
     def parts(self) -> list[SplitPart]:
-        """The services that get this route's requests, with their weights."""
+        """The services that receive this route's requests, with their weights."""
         if self.split:
             return self.split
         return [SplitPart(service=self.service, weight=1.0)] if self.service else []
@@ -75,7 +79,7 @@
 
 
 class ServiceEntry(_Row, frozen=True, kw_only=True):
-    """One service that routes may name."""
+    """One service that routes can refer to."""
 
     name: ServiceName
     probe_path: str = ""
@@ -83,7 +87,11 @@
 
 
 class CallerLimits(_Row, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take or rest."""
+    """Limits on the size of a caller's requests, and its timeouts.
+
+    `header_timeout_ms` limits how long a caller may take to send the headers, and
+    `idle_timeout_ms` how long its connection may be idle.
+    """
 
     header_limit_bytes: int = DEFAULT_HEADER_LIMIT_BYTES
     body_limit_bytes: int = DEFAULT_BODY_LIMIT_BYTES
@@ -92,9 +100,9 @@
 
 
 class RouteSheet(_Row, frozen=True, kw_only=True):
-    """A whole route sheet under its operator's version.
+    """A whole route sheet with the operator's version number.
 
-    Where `accounts` is given, also as an empty list, requests need an account's key.
+    If `accounts` is given, even as an empty list, requests need the key of an account.
     """
 
     version: int
@@ -108,14 +116,15 @@
 
 
 def decode_sheet(body: bytes) -> RouteSheet:
-    """Return the checked sheet that JSON bytes hold.
+    """Decode a sheet from JSON and validate it.
 
-    Raises CinderwayError with SHEET_INVALID that says what was given and allowed.
+    Raises CinderwayError with SHEET_INVALID, and a detail that says what was given and
+    what is allowed.
     """
     try:
         sheet = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise _invalid(f"the sheet cannot be read: {error}") from error
+        raise _invalid(f"the sheet cannot be decoded: {error}") from error
     _check_version(sheet)
     _check_services(sheet)
     for route in sheet.routes:
@@ -134,7 +143,7 @@
     counts = Counter(service.name for service in sheet.services)
     for name, count in counts.items():
         if count > 1:
-            raise _invalid(f"service {name!r} stands {count} times; once is allowed")
+            raise _invalid(f"service {name!r} occurs {count} times; once is allowed")
 
 
 def _check_route(route: RouteRow, services: set[ServiceName]) -> None:
