--- a/tests/catalog/test_heartbeats.py
+++ b/tests/catalog/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of writers that nobody knows: a coded refusal, or a server that can be."""
+"""Heartbeats are untrusted input: each is rejected with an error code or is usable."""
 
 import json
 import unittest
@@ -19,14 +19,21 @@
 from tests.catalog.test_machine import Catalog
 
 SERVER = ServerName("i-1")
-SAID = {
+VALID_HEARTBEAT = {
     "service": "lookup",
     "address": "10.0.0.1:80",
     "data_hall": "suva",
     "slots": 2,
     "status": "active",
 }
-FIELDS = [*SAID, "version", "warmup_left_ms", "sequence", "started_at_ms", "other"]
+FIELDS = [
+    *VALID_HEARTBEAT,
+    "version",
+    "warmup_left_ms",
+    "sequence",
+    "started_at_ms",
+    "other",
+]
 numbers = st.one_of(
     st.integers(), st.integers(2**53, 2**70), st.floats(), st.just(10**400)
 )
@@ -40,14 +47,17 @@
 
 
 class HeartbeatTests(unittest.TestCase):
-    def refusal(self, body):
+    def assert_rejected(self, body):
         with self.assertRaises(CinderwayError) as caught:
             decode_heartbeat(SERVER, body)
         self.assertIs(caught.exception.code, ErrorCode.HEARTBEAT_INVALID)
         return caught.exception.detail
 
-    def assert_harmless(self, body):
-        """A heartbeat is refused, or what it names can be kept and sent to."""
+    def assert_rejected_or_usable(self, body):
+        """Check that a heartbeat is rejected or describes a server that can be used.
+
+        A usable server has a valid address and can be registered and sent to mirrors.
+        """
         try:
             server = decode_heartbeat(SERVER, body)
         except CinderwayError as error:
@@ -61,48 +71,52 @@
         self.assertEqual(list(mirror.servers.values()), [server])
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_are_refused_or_harmless(self, body):
-        self.assert_harmless(body)
+    def test_any_bytes_are_rejected_or_usable(self, body):
+        self.assert_rejected_or_usable(body)
 
     @given(fields)
-    def test_any_fields_are_refused_or_harmless(self, other):
-        self.assert_harmless(json.dumps({**SAID, **other}).encode())
-
-    @given(st.sampled_from(sorted(SAID)))
-    def test_a_missing_field_is_refused(self, missing):
-        said = {name: value for name, value in SAID.items() if name != missing}
-        self.assertIn(missing, self.refusal(json.dumps(said).encode()))
-
-    def test_odd_bytes_are_refused(self):
+    def test_any_fields_are_rejected_or_usable(self, overrides):
+        self.assert_rejected_or_usable(
+            json.dumps({**VALID_HEARTBEAT, **overrides}).encode()
+        )
+
+    @given(st.sampled_from(sorted(VALID_HEARTBEAT)))
+    def test_a_missing_field_is_rejected(self, missing):
+        heartbeat = {
+            name: value for name, value in VALID_HEARTBEAT.items() if name != missing
+        }
+        self.assertIn(missing, self.assert_rejected(json.dumps(heartbeat).encode()))
+
+    def test_malformed_bodies_are_rejected(self):
         for body in (
             b"[" * 100_000,
             b'{"service": "a\xff"}',
-            json.dumps({**SAID, "slots": True}).encode(),
-            json.dumps({**SAID, "slots": 0}).encode(),
-            json.dumps({**SAID, "status": "resting"}).encode(),
-            json.dumps({**SAID, "started_at_ms": "100"}).encode(),
-            json.dumps({**SAID, "started_at_ms": float("nan")}).encode(),
+            json.dumps({**VALID_HEARTBEAT, "slots": True}).encode(),
+            json.dumps({**VALID_HEARTBEAT, "slots": 0}).encode(),
+            json.dumps({**VALID_HEARTBEAT, "status": "resting"}).encode(),
+            json.dumps({**VALID_HEARTBEAT, "started_at_ms": "100"}).encode(),
+            json.dumps({**VALID_HEARTBEAT, "started_at_ms": float("nan")}).encode(),
         ):
             with self.subTest(body[:80]):
-                self.refusal(body)
+                self.assert_rejected(body)
 
-    def test_an_address_that_nobody_can_reach_is_refused(self):
+    def test_an_invalid_address_is_rejected(self):
         for address in ("10.0.0.1", "10.0.0.1:0", "10.0.0.1:70000", "host:80", ":80"):
             with self.subTest(address):
-                body = json.dumps({**SAID, "address": address}).encode()
-                self.assertIn(address, self.refusal(body))
+                body = json.dumps({**VALID_HEARTBEAT, "address": address}).encode()
+                self.assertIn(address, self.assert_rejected(body))
 
-    def test_an_id_of_no_or_too_many_characters_is_refused(self):
+    def test_an_empty_or_too_long_id_is_rejected(self):
         for text in ("", "i" * 201):
             with self.assertRaises(CinderwayError):
                 check_server_id(text)
 
 
-class FarewellTests(unittest.TestCase):
+class DeregistrationTests(unittest.TestCase):
     @given(st.binary(max_size=200))
-    def test_a_server_that_leaves_is_believed_whatever_it_adds(self, body):
+    def test_deregistration_is_accepted_with_any_body(self, body):
         self.assertGreaterEqual(decode_farewell(SERVER, body), UNKNOWN_START)
 
-    def test_it_may_say_which_start_leaves(self):
+    def test_the_body_may_give_the_start_time(self):
         self.assertEqual(decode_farewell(SERVER, b'{"started_at_ms": 7}'), 7)
         self.assertEqual(decode_farewell(SERVER, b""), UNKNOWN_START)
--- a/tests/catalog/test_machine.py
+++ b/tests/catalog/test_machine.py
@@ -64,7 +64,7 @@
 
 
 class Catalog:
-    """A machine that is given its commands one log index after the other."""
+    """A catalog machine that applies each command at the next log index."""
 
     def __init__(self):
         self.machine = CatalogMachine()
@@ -84,7 +84,7 @@
         self.assertFalse(self.catalog.apply(InstallSheet(body(2))).is_changed)
         self.assertEqual(self.catalog.machine.sheet.version, 4)
 
-    def test_other_content_under_the_version_held_is_never_in_force(self):
+    def test_other_content_under_the_installed_version_is_ignored(self):
         self.catalog.apply(InstallSheet(body(4, timeout_ms=1000)))
         self.catalog.apply(InstallSheet(body(4, timeout_ms=9000)))
         self.assertEqual(self.catalog.machine.sheet.routes[0].timeout_ms, 1000)
@@ -99,30 +99,30 @@
     def servers(self):
         return self.catalog.machine.registry.servers
 
-    def test_a_leaving_server_does_not_become_active_by_a_late_heartbeat(self):
+    def test_a_late_heartbeat_does_not_reactivate_a_leaving_server(self):
         self.catalog.apply(Register(server(1)))
         self.catalog.apply(Register(server(1, ServerStatus.LEAVING)))
         self.catalog.apply(Register(server(1)))
         self.assertIs(self.servers["i-1"].status, ServerStatus.LEAVING)
 
-    def test_a_server_that_left_does_not_come_back_by_a_late_heartbeat(self):
+    def test_a_late_heartbeat_does_not_bring_back_a_server_that_left(self):
         self.catalog.apply(Register(server(1)))
         self.catalog.apply(Deregister(ServerName("i-1")))
         self.catalog.apply(Register(server(1)))
         self.assertEqual(self.servers, {})
 
-    def test_a_server_that_left_before_it_was_known_stays_out(self):
+    def test_a_server_that_left_before_it_registered_stays_out(self):
         self.catalog.apply(Deregister(ServerName("i-1")))
         self.catalog.apply(Register(server(1)))
         self.assertEqual(self.servers, {})
 
-    def test_a_new_server_at_an_address_replaces_the_former_one(self):
+    def test_a_new_server_at_an_address_replaces_the_previous_one(self):
         self.catalog.apply(Register(server(1)))
         self.catalog.apply(Register(server(2, address=1)))
         self.assertEqual(list(self.servers), ["i-2"])
 
     @given(st.lists(commands, max_size=30))
-    def test_no_two_servers_have_one_address_and_none_that_left_is_there(self, given):
+    def test_addresses_are_unique_and_no_removed_server_is_registered(self, given):
         self.catalog = Catalog()
         for command in given:
             self.catalog.apply(command)
@@ -133,28 +133,30 @@
 
 class MirrorTests(unittest.TestCase):
     @given(st.lists(commands, max_size=30), st.sets(st.integers(0, 30)))
-    def test_a_mirror_that_follows_now_and_then_holds_the_same(self, given, looks):
+    def test_a_mirror_that_skips_revisions_converges(self, given, update_steps):
         catalog, mirror = Catalog(), CatalogMirror()
         for step, command in enumerate(given):
             catalog.apply(command)
-            if step in looks:
+            if step in update_steps:
                 mirror.install(catalog.machine.update_since(mirror.revision))
         mirror.install(catalog.machine.update_since(mirror.revision))
         self.assertEqual(mirror.servers, catalog.machine.registry.servers)
         self.assertEqual(mirror.sheet, catalog.machine.sheet)
 
     @given(st.lists(commands, max_size=30), st.integers(0, 30))
-    def test_a_restored_snapshot_continues_the_same(self, given, cut):
-        whole, first, second = Catalog(), Catalog(), Catalog()
+    def test_a_machine_restored_from_a_snapshot_behaves_the_same(self, given, cut):
+        uninterrupted, original, restored = Catalog(), Catalog(), Catalog()
         for command in given[:cut]:
-            whole.apply(command)
-            first.apply(command)
-        second.machine.restore(first.machine.freeze()())
-        second.index = first.index
+            uninterrupted.apply(command)
+            original.apply(command)
+        restored.machine.restore(original.machine.freeze()())
+        restored.index = original.index
         for command in given[cut:]:
-            whole.apply(command)
-            second.apply(command)
-        self.assertEqual(whole.machine.update_since(0), second.machine.update_since(0))
+            uninterrupted.apply(command)
+            restored.apply(command)
+        self.assertEqual(
+            uninterrupted.machine.update_since(0), restored.machine.update_since(0)
+        )
 
     def test_an_older_update_is_not_installed(self):
         catalog, mirror = Catalog(), CatalogMirror()
@@ -165,7 +167,7 @@
         self.assertFalse(mirror.install(older))
         self.assertEqual(mirror.sheet.version, 2)
 
-    def test_an_update_that_skips_what_is_not_known_is_not_installed(self):
+    def test_an_update_with_an_unknown_base_revision_is_not_installed(self):
         catalog, mirror = Catalog(), CatalogMirror()
         catalog.apply(Register(server(1)))
         catalog.apply(Register(server(2)))
@@ -173,10 +175,10 @@
         self.assertEqual(mirror.servers, {})
 
 
-class UnreadableTests(unittest.TestCase):
-    """What another build wrote, or what was damaged, ends nothing."""
+class UndecodableTests(unittest.TestCase):
+    """Data that another build wrote, or that is damaged, must not end the process."""
 
-    def test_a_command_that_cannot_be_read_is_passed_over(self):
+    def test_an_undecodable_command_is_skipped(self):
         catalog = Catalog()
         catalog.apply(Register(server(1)))
         with self.assertLogs("cinderway", "ERROR"):
@@ -186,7 +188,7 @@
         self.assertEqual(catalog.machine.revision, 1)
 
     @given(st.binary(max_size=60), st.binary(max_size=60))
-    def test_an_update_that_cannot_be_read_changes_nothing(self, sheet, servers):
+    def test_an_undecodable_update_changes_nothing(self, sheet, servers):
         catalog, mirror = Catalog(), CatalogMirror()
         catalog.apply(Register(server(1)))
         mirror.install(catalog.machine.update_since(0))
@@ -198,12 +200,12 @@
 
 
 class PackedSheetTests(unittest.TestCase):
-    def test_what_is_read_back_is_what_the_operator_sent(self):
+    def test_the_sheet_reads_back_as_the_operator_sent_it(self):
         catalog = Catalog()
         catalog.apply(InstallSheet.of(body(3)))
         self.assertEqual(catalog.machine.sheet_body, body(3))
 
-    def test_a_sheet_of_many_routes_travels_at_less_than_half_of_its_size(self):
+    def test_a_sheet_of_many_routes_compresses_to_less_than_half(self):
         rng = random.Random(1)
         rows = [
             [f"r-{rng.getrandbits(32):x}", f"{rng.getrandbits(24):x}.example", "once"]
@@ -215,7 +217,11 @@
 
 
 class DisplacedTests(unittest.TestCase):
-    """A start that is over is heard of only after the next one at its address."""
+    """A heartbeat of a finished start arrives after its successor has registered.
+
+    The servers report no start times, so the finished start displaces the live server
+    at its address. The live server must be reinstated.
+    """
 
     def setUp(self):
         self.catalog = Catalog()
@@ -226,17 +232,17 @@
     def registry(self):
         return self.catalog.machine.registry
 
-    def test_the_one_that_lives_gets_its_place_back(self):
+    def test_the_live_server_is_reinstated(self):
         self.catalog.apply(Reinstate(server(2, address=1)))
         self.assertEqual(list(self.registry.servers), ["i-2"])
         self.assertFalse(self.registry.has_left("i-2"))
         self.assertFalse(self.registry.has_left("i-1"))
 
-    def test_a_single_late_heartbeat_moves_nobody(self):
+    def test_a_single_late_heartbeat_displaces_nobody(self):
         self.catalog.apply(Register(server(2, address=1)))
         self.assertEqual(list(self.registry.servers), ["i-1"])
 
-    def test_entries_hear_of_it(self):
+    def test_mirrors_receive_the_reinstatement(self):
         mirror = CatalogMirror()
         mirror.install(self.catalog.machine.update_since(0))
         self.assertEqual(list(mirror.servers), ["i-1"])
@@ -245,20 +251,20 @@
         self.assertTrue(mirror.install(update))
         self.assertEqual(list(mirror.servers), ["i-2"])
 
-    def test_one_that_said_it_leaves_comes_back_leaving_only(self):
+    def test_a_leaving_server_is_reinstated_as_leaving(self):
         self.catalog.apply(Reinstate(server(2, address=1)))
         self.catalog.apply(Register(server(2, ServerStatus.LEAVING, address=1)))
         self.catalog.apply(Register(server(3, address=1)))
         self.catalog.apply(Reinstate(server(2, address=1)))
         self.assertIs(self.registry.servers["i-2"].status, ServerStatus.LEAVING)
 
-    def test_one_that_has_left_for_good_is_not_reinstated(self):
+    def test_a_deregistered_server_is_not_reinstated(self):
         self.catalog.apply(Deregister(ServerName("i-2")))
         self.assertTrue(self.registry.has_left("i-2"))
         self.catalog.apply(Reinstate(server(2, address=1)))
         self.assertEqual(list(self.registry.servers), ["i-1"])
 
-    def test_a_snapshot_keeps_it_in_mind(self):
+    def test_a_snapshot_keeps_displaced_servers(self):
         machine = CatalogMachine()
         machine.restore(self.catalog.machine.freeze()())
         self.assertFalse(machine.registry.has_left("i-2"))
--- a/tests/catalog/test_routes.py
+++ b/tests/catalog/test_routes.py
@@ -45,15 +45,13 @@
         self.assertIsNotNone(routes.match("A.EXAMPLE:8080", "/a/x"))
 
     @given(st.lists(segments, min_size=1, max_size=5), segments)
-    def test_a_match_is_the_longest_of_all_prefixes_that_begin_the_path(
-        self, prefixes, path
-    ):
-        wanted = {"/" + "".join(s + "/" for s in parts) for parts in prefixes}
-        routes = index(*(route(prefix) for prefix in sorted(wanted)))
-        asked = "/" + "/".join([*path, "x"])
-        fitting = [prefix for prefix in wanted if asked.startswith(prefix)]
-        found = routes.match("a.example", asked)
-        expected = max(fitting, key=len, default=None)
+    def test_the_longest_prefix_of_the_path_matches(self, prefixes, path):
+        sheet_prefixes = {"/" + "".join(s + "/" for s in parts) for parts in prefixes}
+        routes = index(*(route(prefix) for prefix in sorted(sheet_prefixes)))
+        requested = "/" + "/".join([*path, "x"])
+        matching = [prefix for prefix in sheet_prefixes if requested.startswith(prefix)]
+        found = routes.match("a.example", requested)
+        expected = max(matching, key=len, default=None)
         self.assertEqual(found and found.name, expected)
 
     def test_a_split_is_drawn_by_weight(self):
@@ -66,7 +64,7 @@
         drawn = Counter(pick_service(split, rng) for _ in range(5_000))
         self.assertAlmostEqual(drawn["lookup"] / 5_000, 0.9, delta=0.02)
 
-    def test_a_split_whose_parts_all_weigh_nothing_is_even(self):
+    def test_a_split_with_all_weights_zero_is_even(self):
         parts = [SplitPart(service=name, weight=0) for name in ("lookup", "maps")]
         split = route("/a/", service=None, split=parts)
         rng = random.Random(1)
--- a/tests/catalog/test_sheet.py
+++ b/tests/catalog/test_sheet.py
@@ -29,43 +29,43 @@
 
 
 class SheetTests(unittest.TestCase):
-    def refusal(self, content):
+    def assert_rejected(self, content):
         with self.assertRaises(CinderwayError) as caught:
             decode(content)
         self.assertIs(caught.exception.code, ErrorCode.SHEET_INVALID)
         return caught.exception.detail
 
-    def test_a_whole_sheet_is_read(self):
+    def test_a_valid_sheet_is_decoded(self):
         found = decode(sheet([route(kind="once", objective_ms=800)]))
         self.assertEqual(found.version, 3)
         self.assertIs(found.routes[0].kind, RouteKind.ONCE)
         self.assertFalse(found.routes[0].is_repeatable)
         self.assertEqual([p.service for p in found.routes[0].parts], ["lookup"])
 
-    def test_unknown_fields_are_passed_over(self):
+    def test_unknown_fields_are_ignored(self):
         found = decode({**sheet([route(later="x")]), "later": 1})
         self.assertEqual(found.version, 3)
 
-    def test_a_sheet_that_is_cut_short_is_refused(self):
+    def test_a_truncated_sheet_is_rejected(self):
         body = json.dumps(sheet([route()])).encode()
         for length in range(len(body)):
             with self.assertRaises(CinderwayError):
                 decode_sheet(body[:length])
 
-    def test_a_service_that_is_not_in_the_sheet_is_refused(self):
-        detail = self.refusal(sheet([route(service="other")]))
+    def test_a_service_that_is_not_in_the_sheet_is_rejected(self):
+        detail = self.assert_rejected(sheet([route(service="other")]))
         self.assertIn("'other'", detail)
         parts = [{"service": "other", "weight": 1}]
-        self.refusal(sheet([route(service=None, split=parts)]))
+        self.assert_rejected(sheet([route(service=None, split=parts)]))
 
-    def test_two_routes_at_one_place_are_refused(self):
-        self.refusal(sheet([route(), route(name="r2")]))
-        self.refusal(sheet([route(), route(name="r2", host="A.example")]))
+    def test_two_routes_with_one_host_and_prefix_are_rejected(self):
+        self.assert_rejected(sheet([route(), route(name="r2")]))
+        self.assert_rejected(sheet([route(), route(name="r2", host="A.example")]))
         decode(sheet([route(), route(name="r2", path_prefix="/p/q/")]))
 
-    def test_values_out_of_range_are_refused(self):
+    def test_values_out_of_range_are_rejected(self):
         parts = [{"service": "lookup", "weight": -1}, {"service": "maps", "weight": 2}]
-        for wrong in (
+        for invalid in (
             {"timeout_ms": 0},
             {"timeout_ms": "1000"},
             {"host": ""},
@@ -74,13 +74,13 @@
             {"service": None, "split": parts},
             {"kind": "other"},
         ):
-            with self.subTest(wrong):
-                self.refusal(sheet([route(**wrong)]))
-        self.refusal(sheet([], version=-1))
-        self.refusal(sheet([], services=("lookup", "lookup")))
+            with self.subTest(invalid):
+                self.assert_rejected(sheet([route(**invalid)]))
+        self.assert_rejected(sheet([], version=-1))
+        self.assert_rejected(sheet([], services=("lookup", "lookup")))
 
     @given(st.binary(max_size=200))
-    def test_bytes_that_are_no_sheet_are_refused_and_nothing_else(self, body):
+    def test_arbitrary_bytes_raise_only_sheet_invalid(self, body):
         with self.assertRaises(CinderwayError) as caught:
             decode_sheet(body)
         self.assertIs(caught.exception.code, ErrorCode.SHEET_INVALID)
--- a/tests/catalog/test_starts.py
+++ b/tests/catalog/test_starts.py
@@ -1,8 +1,9 @@
-"""A backend server starts again under the id that it had.
+"""A backend server restarts with the same id.
 
-Its id used to stand for one start. A server that crashed and came back under its id got
-no work again, or got it at its old address: the registry took its heartbeats for late
-ones of the start that was over.
+Guards against taking the heartbeats of the new start for late ones of the finished
+start, which happened when the registry treated an id as a single start: a server that
+crashed and came back with its id got no requests any more, or got them at its old
+address.
 """
 
 import unittest
@@ -28,8 +29,8 @@
 ACTIVE, LEAVING = ServerStatus.ACTIVE, ServerStatus.LEAVING
 
 
-def start(server_id, started_at_ms, status=ACTIVE, address=None, slots=3):
-    """What one start of a server says of itself."""
+def build_start(server_id, started_at_ms, status=ACTIVE, address=None, slots=3):
+    """Return one start of a server as its heartbeat describes it."""
     return RegisteredServer(
         ServerName(server_id),
         ServiceName("lookup"),
@@ -41,7 +42,7 @@
     )
 
 
-class StartCase(unittest.TestCase):
+class StartTestCase(unittest.TestCase):
     def setUp(self):
         self.catalog = Catalog()
 
@@ -53,130 +54,148 @@
     def registry(self):
         return self.catalog.machine.registry
 
-    def known(self):
-        """Id, start and status of each server that is registered."""
+    def registered(self):
+        """Return the id, start time and status of each registered server."""
         return {
             (server.told_id, server.started_at_ms, server.status)
             for server in self.registry.servers.values()
         }
 
 
-class RestartTests(StartCase):
-    def test_one_that_left_gets_work_again_when_it_starts_again(self):
+class RestartTests(StartTestCase):
+    def test_a_server_that_left_is_active_after_a_restart(self):
         self.apply(
-            Register(start("1", 100)), Deregister("1"), Register(start("1", 200))
+            Register(build_start("1", 100)),
+            Deregister("1"),
+            Register(build_start("1", 200)),
         )
-        self.assertEqual(self.known(), {("1", 200, ACTIVE)})
+        self.assertEqual(self.registered(), {("1", 200, ACTIVE)})
 
-    def test_one_that_crashed_while_it_left_is_active_when_it_starts_again(self):
+    def test_a_server_that_crashed_while_leaving_is_active_after_a_restart(self):
         self.apply(
-            Register(start("1", 100)),
-            Register(start("1", 100, LEAVING)),
-            Register(start("1", 200)),
+            Register(build_start("1", 100)),
+            Register(build_start("1", 100, LEAVING)),
+            Register(build_start("1", 200)),
         )
-        self.assertEqual(self.known(), {("1", 200, ACTIVE)})
+        self.assertEqual(self.registered(), {("1", 200, ACTIVE)})
 
-    def test_one_that_starts_again_elsewhere_is_used_where_it_is_now(self):
-        self.apply(Register(start("1", 100)), Register(start("1", 200, address=7)))
+    def test_a_restart_at_another_address_is_registered_there(self):
+        self.apply(
+            Register(build_start("1", 100)), Register(build_start("1", 200, address=7))
+        )
         (server,) = self.registry.servers.values()
         self.assertEqual(server.address, "10.0.0.7:80")
 
-    def test_each_start_has_a_name_of_its_own_and_the_id_that_it_told(self):
-        self.apply(Register(start("1", 100)))
+    def test_each_start_has_its_own_name_and_keeps_the_reported_id(self):
+        self.apply(Register(build_start("1", 100)))
         (first,) = self.registry.servers
-        self.apply(Register(start("1", 200)))
+        self.apply(Register(build_start("1", 200)))
         (second,) = self.registry.servers
         self.assertEqual(first, "1")
         self.assertNotEqual(second, first)
         self.assertEqual(self.registry.servers[second].told_id, "1")
 
-    def test_entries_drop_the_earlier_start_and_get_the_later_one(self):
+    def test_mirrors_replace_the_earlier_start_by_the_later_one(self):
         mirror = CatalogMirror()
-        self.apply(Register(start("1", 100)))
+        self.apply(Register(build_start("1", 100)))
         mirror.install(self.catalog.machine.update_since(0))
-        self.apply(Register(start("1", 200)))
+        self.apply(Register(build_start("1", 200)))
         mirror.install(self.catalog.machine.update_since(mirror.revision))
         self.assertEqual([s.started_at_ms for s in mirror.servers.values()], [200])
 
-    def test_a_name_is_not_given_twice(self):
-        self.apply(Register(start("1~2", 50, address=9)))
-        self.apply(Register(start("1", 100)), Register(start("1", 200)))
-        self.assertEqual({s[0] for s in self.known()}, {"1", "1~2"})
+    def test_a_generated_name_is_unique(self):
+        self.apply(Register(build_start("1~2", 50, address=9)))
+        self.apply(Register(build_start("1", 100)), Register(build_start("1", 200)))
+        self.assertEqual({s[0] for s in self.registered()}, {"1", "1~2"})
 
-    def test_a_start_that_left_unheard_takes_no_other_servers_name(self):
-        self.apply(Register(start("1~2", 50, address=9)))
-        self.apply(Register(start("1", 100)), Deregister("1", started_at_ms=200))
-        self.assertEqual(self.known(), {("1~2", 50, ACTIVE)})
+    def test_an_unknown_start_that_left_takes_no_other_servers_name(self):
+        self.apply(Register(build_start("1~2", 50, address=9)))
+        self.apply(Register(build_start("1", 100)), Deregister("1", started_at_ms=200))
+        self.assertEqual(self.registered(), {("1~2", 50, ACTIVE)})
 
 
-class LateWordTests(StartCase):
+class LateCommandTests(StartTestCase):
     def test_a_heartbeat_of_an_earlier_start_changes_nothing(self):
-        self.apply(Register(start("1", 200)), Register(start("1", 100, LEAVING)))
-        self.assertEqual(self.known(), {("1", 200, ACTIVE)})
+        self.apply(
+            Register(build_start("1", 200)), Register(build_start("1", 100, LEAVING))
+        )
+        self.assertEqual(self.registered(), {("1", 200, ACTIVE)})
 
-    def test_an_earlier_start_that_leaves_takes_no_later_one_out(self):
-        self.apply(Register(start("1", 200)), Deregister("1", started_at_ms=100))
-        self.assertEqual(self.known(), {("1", 200, ACTIVE)})
+    def test_deregistration_of_an_earlier_start_keeps_the_later_one(self):
+        self.apply(Register(build_start("1", 200)), Deregister("1", started_at_ms=100))
+        self.assertEqual(self.registered(), {("1", 200, ACTIVE)})
 
-    def test_a_start_that_left_is_not_brought_back_by_its_own_late_heartbeat(self):
+    def test_a_late_heartbeat_does_not_bring_back_a_start_that_left(self):
         self.apply(
-            Register(start("1", 100)),
+            Register(build_start("1", 100)),
             Deregister("1", started_at_ms=100),
-            Register(start("1", 100)),
+            Register(build_start("1", 100)),
         )
-        self.assertEqual(self.known(), set())
+        self.assertEqual(self.registered(), set())
 
-    def test_a_start_that_left_before_it_was_known_stays_out(self):
+    def test_a_start_that_left_before_it_registered_stays_out(self):
         self.apply(
-            Register(start("1", 100)),
+            Register(build_start("1", 100)),
             Deregister("1", started_at_ms=200),
-            Register(start("1", 200)),
+            Register(build_start("1", 200)),
         )
-        self.assertEqual(self.known(), set())
+        self.assertEqual(self.registered(), set())
 
-    def test_a_late_word_of_the_former_server_at_an_address_displaces_nobody(self):
+    def test_a_late_heartbeat_from_the_previous_server_displaces_nobody(self):
         self.apply(
-            Register(start("2", 200, address=1)), Register(start("1", 100, address=1))
+            Register(build_start("2", 200, address=1)),
+            Register(build_start("1", 100, address=1)),
         )
-        self.assertEqual(self.known(), {("2", 200, ACTIVE)})
+        self.assertEqual(self.registered(), {("2", 200, ACTIVE)})
 
-    def test_a_server_displaced_by_a_later_start_at_its_address_is_out_for_good(self):
+    def test_a_server_replaced_by_a_later_start_is_not_reinstated(self):
         self.apply(
-            Register(start("1", 100)),
-            Register(start("2", 200, address=1)),
-            Reinstate(start("1", 100)),
+            Register(build_start("1", 100)),
+            Register(build_start("2", 200, address=1)),
+            Reinstate(build_start("1", 100)),
         )
-        self.assertEqual(self.known(), {("2", 200, ACTIVE)})
+        self.assertEqual(self.registered(), {("2", 200, ACTIVE)})
+
 
+class UnknownStartTests(StartTestCase):
+    """Heartbeats without a start time count as sent by the newest known start.
 
-class UntoldStartTests(StartCase):
-    """Heartbeats of writers that do not tell their start: the stricter reading."""
+    They can neither bring a server back nor change its address.
+    """
 
-    def test_without_a_start_one_that_left_stays_out(self):
-        self.apply(Register(start("1", 100)), Deregister("1"), Register(start("1", 0)))
-        self.assertEqual(self.known(), set())
+    def test_without_a_start_time_a_server_that_left_stays_out(self):
+        self.apply(
+            Register(build_start("1", 100)),
+            Deregister("1"),
+            Register(build_start("1", 0)),
+        )
+        self.assertEqual(self.registered(), set())
 
-    def test_without_a_start_a_server_can_only_leave(self):
-        self.apply(Register(start("1", 100)), Register(start("1", 0, address=5)))
-        self.assertEqual(self.known(), {("1", 100, ACTIVE)})
-        self.apply(Register(start("1", 0, LEAVING)))
-        self.assertEqual(self.known(), {("1", 100, LEAVING)})
+    def test_without_a_start_time_a_server_can_only_leave(self):
+        self.apply(
+            Register(build_start("1", 100)), Register(build_start("1", 0, address=5))
+        )
+        self.assertEqual(self.registered(), {("1", 100, ACTIVE)})
+        self.apply(Register(build_start("1", 0, LEAVING)))
+        self.assertEqual(self.registered(), {("1", 100, LEAVING)})
 
-    def test_a_start_that_is_told_later_is_learned(self):
-        self.apply(Register(start("1", 0)), Register(start("1", 100)))
+    def test_a_start_time_reported_later_is_recorded(self):
+        self.apply(Register(build_start("1", 0)), Register(build_start("1", 100)))
         self.assertEqual(list(self.registry.servers), ["1"])
-        self.assertEqual(self.known(), {("1", 100, ACTIVE)})
+        self.assertEqual(self.registered(), {("1", 100, ACTIVE)})
 
-    def test_a_delete_without_a_start_takes_out_the_newest_one(self):
+    def test_deregistration_without_a_start_time_removes_the_newest_start(self):
         self.apply(
-            Register(start("1", 100)), Register(start("1", 200)), Deregister("1")
+            Register(build_start("1", 100)),
+            Register(build_start("1", 200)),
+            Deregister("1"),
         )
-        self.assertEqual(self.known(), set())
+        self.assertEqual(self.registered(), set())
         self.assertTrue(self.registry.has_left("1", 200))
 
 
-class EarlierBuildTests(StartCase):
-    """State that was written before starts were told apart."""
+class EarlierBuildTests(StartTestCase):
+    """Data written by earlier builds, which did not distinguish starts."""
 
     COMMAND = (
         b"\x82\xa4type\xa8register\xa6server\x88\xa9server_id\xa3i-1\xa7service\xa6lookup"
@@ -184,11 +203,11 @@
         b"\xa8software\xa0\xa9warmup_ms\x00"
     )
 
-    def test_its_commands_are_read(self):
+    def test_commands_of_earlier_builds_are_decoded(self):
         server = decode_command(self.COMMAND).server
         self.assertEqual((server.server_id, server.started_at_ms), ("i-1", 0))
 
-    def test_its_snapshots_are_read(self):
+    def test_snapshots_of_earlier_builds_are_decoded(self):
         row = {
             "server_id": "i-1",
             "service": "lookup",
@@ -216,8 +235,8 @@
 
 
 @dataclass
-class Platform:
-    """The truth: each server's starts, and which of them have left."""
+class ExpectedFleet:
+    """The expected state: the newest start of each server, and the starts that left."""
 
     newest: dict[str, RegisteredServer]
     left: set[tuple[str, int]]
@@ -228,57 +247,58 @@
         return starts - self.left
 
 
-# Starts of a few ids, each at an address of its own, in an order that time gives them.
+# Starts of a few ids in order of start time, each with a flag that tells whether it
+# leaves. Each id has an address of its own.
 histories = st.lists(
     st.tuples(st.sampled_from("123"), st.booleans()), min_size=1, max_size=8
 )
 
 
-def words_of(history: Iterable[tuple[str, bool]]) -> tuple[list, Platform]:
-    """Return everything the starts of a history say, and what is true after it."""
-    words, platform = [], Platform({}, set())
+def build_commands(history: Iterable[tuple[str, bool]]) -> tuple[list, ExpectedFleet]:
+    """Return all commands that a history causes, and the expected state after it."""
+    commands, expected = [], ExpectedFleet({}, set())
     for number, (server_id, leaves) in enumerate(history, 1):
-        told = start(server_id, 100 * number, address=server_id)
-        platform.newest[server_id] = told
-        words += [Register(told)] * 2
+        server = build_start(server_id, 100 * number, address=server_id)
+        expected.newest[server_id] = server
+        commands += [Register(server)] * 2
         if leaves:
-            words.append(Register(msgspec.structs.replace(told, status=LEAVING)))
-            words.append(Deregister(server_id, started_at_ms=100 * number))
-            platform.left.add((server_id, 100 * number))
-    return words, platform
+            commands.append(Register(msgspec.structs.replace(server, status=LEAVING)))
+            commands.append(Deregister(server_id, started_at_ms=100 * number))
+            expected.left.add((server_id, 100 * number))
+    return commands, expected
 
 
 class AnyOrderTests(unittest.TestCase):
     @given(histories, st.randoms(use_true_random=False))
-    def test_in_any_order_the_newest_starts_that_have_not_left_remain(
-        self, history, rng
-    ):
-        words, platform = words_of(history)
-        rng.shuffle(words)
+    def test_in_any_order_exactly_the_newest_live_starts_remain(self, history, rng):
+        commands, expected = build_commands(history)
+        rng.shuffle(commands)
         catalog, mirror = Catalog(), CatalogMirror()
-        for word in words:
-            catalog.apply(word)
+        for command in commands:
+            catalog.apply(command)
             mirror.install(catalog.machine.update_since(mirror.revision))
-            self.assert_one_start_an_id(catalog)
+            self.assert_one_start_per_id(catalog)
         servers = catalog.machine.registry.servers
-        known = {(s.told_id, s.started_at_ms) for s in servers.values()}
-        self.assertEqual(known, platform.alive)
+        registered = {(s.told_id, s.started_at_ms) for s in servers.values()}
+        self.assertEqual(registered, expected.alive)
         self.assertEqual(mirror.servers, servers)
 
     @given(histories, st.randoms(use_true_random=False), st.integers(0, 30))
-    def test_a_replica_that_joins_by_a_snapshot_agrees(self, history, rng, cut):
-        words, _ = words_of(history)
-        rng.shuffle(words)
-        whole, joined = Catalog(), Catalog()
-        for word in words[:cut]:
-            whole.apply(word)
-        joined.machine.restore(whole.machine.freeze()())
-        joined.index = whole.index
-        for word in words[cut:]:
-            whole.apply(word)
-            joined.apply(word)
-        self.assertEqual(whole.machine.update_since(0), joined.machine.update_since(0))
-
-    def assert_one_start_an_id(self, catalog):
+    def test_a_replica_restored_from_a_snapshot_agrees(self, history, rng, cut):
+        commands, _ = build_commands(history)
+        rng.shuffle(commands)
+        uninterrupted, restored = Catalog(), Catalog()
+        for command in commands[:cut]:
+            uninterrupted.apply(command)
+        restored.machine.restore(uninterrupted.machine.freeze()())
+        restored.index = uninterrupted.index
+        for command in commands[cut:]:
+            uninterrupted.apply(command)
+            restored.apply(command)
+        self.assertEqual(
+            uninterrupted.machine.update_since(0), restored.machine.update_since(0)
+        )
+
+    def assert_one_start_per_id(self, catalog):
         ids = [s.told_id for s in catalog.machine.registry.servers.values()]
         self.assertEqual(len(ids), len(set(ids)))
