--- a/src/cinderway/catalog/_heartbeats.py
+++ b/src/cinderway/catalog/_heartbeats.py
@@ -1,7 +1,7 @@
-"""What backend servers say of themselves, read from bytes that anybody may write.
+"""Parses the heartbeats of backend servers, which are untrusted input.
 
-A heartbeat that cannot be read, or that says what no server can be, names no server to
-use: it is refused with what was given and what is allowed, and all that is known stays.
+A heartbeat that cannot be decoded, or that has impossible values, is rejected with an
+error that says what was given and what is allowed. It changes nothing in the registry.
 """
 
 import ipaddress
@@ -12,103 +12,115 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, DataHall, ServerName, ServiceName
-from cinderway.catalog._registry import UNTOLD, RegisteredServer, ServerStatus
+from cinderway.catalog._registry import UNKNOWN_START, RegisteredServer, ServerStatus
 
 logger = logging.getLogger(__name__)
 
-# Far above any id; what is kept of one is sent to every entry.
-ID_LIMIT = 200
-HIGHEST_PORT = 65_535
+# Far longer than any real id. Ids need a limit, because each stored id is sent to every
+# entry.
+MAX_ID_LENGTH = 200
+MAX_PORT = 65_535
 
-# What fields may hold. Numbers are kept in 64 bits; no slots would be divided by.
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=ID_LIMIT)]
+# The allowed values of fields. Numbers must fit into 64 bits. `slots` must not be zero,
+# because loads are divided by it.
+IdText = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ID_LENGTH)]
 Slots = Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 WholeMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a backend server says of itself; its id stands in the path.
+    """The body of a heartbeat; the server's id is in the path of the request.
 
-    `started_at_ms` tells its starts apart; UNTOLD where it does not say. `sequence`
-    grows with each call. Nothing depends on it: within one start a server only ever
-    moves from active to leaving, whatever the order calls arrive in.
+    `started_at_ms` tells the starts of a server apart, and is UNKNOWN_START if the
+    server does not report it. `sequence` grows with each heartbeat, but nothing depends
+    on it: within one start a server only changes from active to leaving, in whatever
+    order its heartbeats arrive.
     """
 
-    service: Name
-    address: Name
-    data_hall: Name
+    service: IdText
+    address: IdText
+    data_hall: IdText
     slots: Slots
     status: ServerStatus
     version: str = ""
     warmup_left_ms: WholeMilliseconds = 0
     sequence: int = 0
-    started_at_ms: WholeMilliseconds = UNTOLD
+    started_at_ms: WholeMilliseconds = UNKNOWN_START
 
 
-class Farewell(msgspec.Struct, frozen=True):
-    """What a server that leaves for good may say of itself."""
+class Deregistration(msgspec.Struct, frozen=True):
+    """The optional body of the call by which a server deregisters for good."""
 
-    started_at_ms: WholeMilliseconds = UNTOLD
+    started_at_ms: WholeMilliseconds = UNKNOWN_START
 
 
 _heartbeat_decoder = msgspec.json.Decoder(Heartbeat, strict=True)
-_farewell_decoder = msgspec.json.Decoder(Farewell, strict=True)
+_deregistration_decoder = msgspec.json.Decoder(Deregistration, strict=True)
 
 
 def check_server_id(text: str) -> ServerName:
-    """Return an id; raises CinderwayError with HEARTBEAT_INVALID if it can be none."""
-    if not 1 <= len(text) <= ID_LIMIT:
-        raise _invalid(f"an id of {len(text)} characters; allowed: 1 to {ID_LIMIT}")
+    """Return a valid id; raises CinderwayError with HEARTBEAT_INVALID otherwise."""
+    if not 1 <= len(text) <= MAX_ID_LENGTH:
+        raise _invalid(
+            f"the id has {len(text)} characters; allowed: 1 to {MAX_ID_LENGTH}"
+        )
     return ServerName(text)
 
 
 def decode_heartbeat(server_id: ServerName, body: bytes) -> RegisteredServer:
-    """Return the server that a heartbeat tells of.
+    """Return the server that a heartbeat describes.
 
-    Raises CinderwayError with HEARTBEAT_INVALID that says what was given and allowed.
+    Raises CinderwayError with HEARTBEAT_INVALID, and a detail that says what was given
+    and what is allowed.
     """
-    said = _decoded(_heartbeat_decoder, server_id, body)
+    heartbeat = _decode(_heartbeat_decoder, server_id, body)
     return RegisteredServer(
         server_id,
-        ServiceName(said.service),
-        _checked_address(said.address, server_id),
-        DataHall(said.data_hall),
-        said.slots,
-        said.status,
-        said.version,
-        said.warmup_left_ms,
-        said.started_at_ms,
+        ServiceName(heartbeat.service),
+        _parse_address(heartbeat.address, server_id),
+        DataHall(heartbeat.data_hall),
+        heartbeat.slots,
+        heartbeat.status,
+        heartbeat.version,
+        heartbeat.warmup_left_ms,
+        heartbeat.started_at_ms,
     )
 
 
 def decode_farewell(server_id: ServerName, body: bytes) -> int:
-    """Return which start a server says has left, UNTOLD for the newest known one.
+    """Return the start time of the start that leaves.
 
-    The call itself says that it leaves: unreadable bytes take nothing from that.
+    It is UNKNOWN_START, which stands for the newest known start, if the body is empty
+    or cannot be decoded: the call itself says that the server leaves, so a bad body
+    does not invalidate it.
     """
     if not body:
-        return UNTOLD
+        return UNKNOWN_START
     try:
-        return _decoded(_farewell_decoder, server_id, body).started_at_ms
+        return _decode(_deregistration_decoder, server_id, body).started_at_ms
     except CinderwayError as error:
-        logger.info("%s leaves, and does not say which start: %s", server_id, error)
-        return UNTOLD
+        logger.info(
+            "%s deregisters without a readable start time: %s", server_id, error
+        )
+        return UNKNOWN_START
 
 
-def _decoded(decoder: msgspec.json.Decoder, server_id: ServerName, body: bytes) -> Any:
+def _decode(decoder: msgspec.json.Decoder, server_id: ServerName, body: bytes) -> Any:
     try:
         return decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise _invalid(f"the heartbeat cannot be read: {error}", server_id) from error
+        raise _invalid(
+            f"the heartbeat cannot be decoded: {error}", server_id
+        ) from error
 
 
-def _checked_address(text: str, server_id: ServerName) -> Address:
+def _parse_address(text: str, server_id: ServerName) -> Address:
     host, _, port = text.rpartition(":")
-    is_port = port.isascii() and port.isdigit() and 1 <= int(port) <= HIGHEST_PORT
+    is_port = port.isascii() and port.isdigit() and 1 <= int(port) <= MAX_PORT
     if is_port and _is_ip(host):
         return Address(text)
     raise _invalid(
-        f"address: given {text!r}; allowed: IP-number:port, ports 1 to {HIGHEST_PORT}",
+        f"address: given {text!r}; allowed: IP-number:port, ports 1 to {MAX_PORT}",
         server_id,
     )
 
