--- a/src/cinderway/ledger/__init__.py
+++ b/src/cinderway/ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The durable record of run-once requests: who may run one, and what came of it."""
+"""The durable record of run-once requests: which attempt may run, and its outcome."""
 
 from cinderway.ledger._client import LedgerClient
 from cinderway.ledger._conversation import (
--- a/src/cinderway/ledger/_conversation.py
+++ b/src/cinderway/ledger/_conversation.py
@@ -1,4 +1,4 @@
-"""What entries and operators ask of the ledger, and its answers."""
+"""The messages between the ledger and its clients: entries and operators."""
 
 from enum import Enum
 
@@ -7,7 +7,7 @@
 
 
 class ClaimName(Message, frozen=True):
-    """Names a run-once request across the fleet: same name, same request."""
+    """Identifies a run-once request across the fleet: same name, same request."""
 
     service: ServiceName
     caller: CallerName
@@ -15,7 +15,7 @@
 
 
 class Resolution(Enum):
-    """What came of a claimed request."""
+    """The outcome of a claimed request."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -34,14 +34,14 @@
 
 
 class Header(Message, frozen=True):
-    """One header of a stored answer."""
+    """One header of a stored response."""
 
     name: bytes
     value: bytes
 
 
 class StoredAnswer(Message, frozen=True):
-    """An answer kept for resends; `is_whole` is false if it was too large to keep."""
+    """A response kept for resends; `is_whole` is false if it was too large to keep."""
 
     is_whole: bool = False
     status: int = 0
@@ -53,7 +53,11 @@
 
 
 class Claim(Message, frozen=True):
-    """Ask to be the one attempt that runs a request."""
+    """Request that this attempt be the only one that may run a request.
+
+    `fingerprint` identifies the request's content. The attempt may run for `run_ms`;
+    the outcome is kept for `retention_ms` after that.
+    """
 
     name: ClaimName
     fingerprint: bytes
@@ -64,14 +68,14 @@
 
 
 class ClaimAnswer(Message, frozen=True):
-    """The ruling; `answer` is set where the request ran and its answer was kept."""
+    """The ruling; `answer` is set if the request ran and its response was kept."""
 
     ruling: Ruling
     answer: StoredAnswer = NO_ANSWER
 
 
 class Finish(Message, frozen=True):
-    """Record what came of a granted attempt. NOT_RUN lets another attempt claim."""
+    """Record a granted attempt's outcome. NOT_RUN lets another attempt claim."""
 
     name: ClaimName
     attempt_id: AttemptId
@@ -82,7 +86,7 @@
 class Abandon(Message, frozen=True):
     """Give up an attempt whose claim got no answer; it will never be dispatched.
 
-    From then on the claim is refused should it still arrive.
+    If the claim arrives after this message, the ledger refuses it.
     """
 
     name: ClaimName
@@ -97,7 +101,7 @@
 
 
 class Settle(Message, frozen=True):
-    """An operator's word on a claim in doubt."""
+    """Set the outcome of a claim in doubt, as an operator determined it."""
 
     name: ClaimName
     resolution: Resolution
--- a/src/cinderway/ledger/_daemon.py
+++ b/src/cinderway/ledger/_daemon.py
@@ -14,15 +14,15 @@
 
 
 async def run_ledger(settings: ReplicaSettings) -> None:
-    """Run a ledger replica until it is told to stop."""
+    """Run a ledger replica until the process is asked to stop."""
     machine = LedgerMachine()
 
-    def routes_of(node: Node) -> tuple[Route, ...]:
+    def build_routes(node: Node) -> tuple[Route, ...]:
         return (LedgerService(node, machine).route,)
 
-    await run_replica(settings, GROUP, machine, routes_of)
+    await run_replica(settings, GROUP, machine, build_routes)
 
 
 def found_ledger(data_folder: Path, address: Address) -> None:
-    """Make a data folder the first replica of a new ledger group."""
+    """Initialize a data folder as the first replica of a new ledger group."""
     DataFolder(data_folder, GROUP, address).found(b"")
--- a/src/cinderway/ledger/_machine.py
+++ b/src/cinderway/ledger/_machine.py
@@ -1,9 +1,9 @@
 """The replicated state machine of run-once claims.
 
-Time is the ledger's own: each command carries `now_ms`, which its leader counts on
-from the last one by a monotonic clock. It stands still while there is no leader and
-no wall clock can make it jump, so a claim can only be remembered longer than
-promised, never shorter.
+The ledger keeps its own time: each command carries `now_ms`, the time of the last
+command that earlier leaders had committed plus what has passed on the leader's
+monotonic clock. This time stops while there is no leader, and no change of a wall
+clock can make it jump, so a claim may be kept longer than promised but never shorter.
 """
 
 import heapq
@@ -29,15 +29,19 @@
     StoredAnswer,
 )
 
-# A claim that could still be on its way when its attempt is abandoned reaches the
-# ledger within this, or its connection is long dead.
-TOMBSTONE_MS = 3_600_000
-# One part is encoded without a break; a large ledger must not stop heartbeats.
-CLAIMS_PER_PART = 1_000
+# A claim that is still in transit when its attempt is abandoned arrives within this
+# time; after that its connection has long been closed.
+TOMBSTONE_RETENTION_MS = 3_600_000
+# A part is encoded without yielding to other threads. Encoding a large ledger in one
+# piece would hold up the heartbeats.
+CLAIMS_PER_SNAPSHOT_PART = 1_000
 
 
 class Command(msgspec.Struct, frozen=True):
-    """A request with the ledger's time at which the leader took it."""
+    """A request, with the ledger's time when the leader proposed it.
+
+    Exactly one of the requests is set.
+    """
 
     now_ms: int
     claim: Claim | None = None
@@ -46,12 +50,12 @@
     settle: Settle | None = None
 
     def encode(self) -> bytes:
-        """Return the bytes kept in the replicated log."""
+        """Return the bytes that are stored in the replicated log."""
         return msgspec.msgpack.encode(self)
 
 
 class StoredClaim(msgspec.Struct, frozen=True):
-    """What the ledger keeps of one claim; `resolution` is None while it runs."""
+    """The stored state of one claim; `resolution` is None until one is recorded."""
 
     fingerprint: bytes
     attempt_id: AttemptId
@@ -67,10 +71,10 @@
 
 
 class MachineState(msgspec.Struct, frozen=True):
-    """The snapshot's form."""
+    """The format of the snapshot."""
 
     now_ms: int
-    # Each holds CLAIMS_PER_PART pairs of ClaimName and StoredClaim.
+    # Each holds up to CLAIMS_PER_SNAPSHOT_PART pairs of ClaimName and StoredClaim.
     parts: list[bytes]
     tombstones: dict[AttemptId, int]
 
@@ -83,11 +87,12 @@
 
 
 class LedgerMachine:
-    """Claims by name.
+    """Holds the claims by name and applies the committed commands to them.
 
-    Guarantees: of all attempts on one name, a second is granted only after the
-    first was recorded as not run; an abandoned attempt is never granted later; a
-    claim in doubt is never forgotten, only settled.
+    Guarantees: once an attempt on a name was granted, another one is granted only
+    after the first was recorded as not run or its outcome's retention has ended; an
+    abandoned attempt is never granted later; a claim in doubt is never removed, only
+    settled.
     """
 
     def __init__(self):
@@ -100,22 +105,22 @@
         return len(self._claims)
 
     def apply(self, index: int, data: bytes) -> ClaimAnswer | None:
-        """Apply the command that a log entry holds."""
+        """Apply the command in a log entry; only a claim has an answer."""
         command = msgspec.msgpack.decode(data, type=Command)
         self.now_ms = max(self.now_ms, command.now_ms)
-        self._forget_expired()
+        self._remove_expired()
         match command:
             case Command(claim=Claim() as claim):
-                return self._claim(claim)
+                return self._apply_claim(claim)
             case Command(finish=Finish() as finish):
-                return self._finish(finish)
+                return self._apply_finish(finish)
             case Command(abandon=Abandon() as abandon):
-                return self._abandon(abandon)
+                return self._apply_abandon(abandon)
             case Command(settle=Settle() as settle):
-                return self._settle(settle)
+                return self._apply_settle(settle)
 
-    def ruling_on(self, name: ClaimName, now_ms: int) -> ClaimAnswer | None:
-        """Return what a further claim would be told now, or None if it is free."""
+    def get_ruling(self, name: ClaimName, now_ms: int) -> ClaimAnswer | None:
+        """Return the answer to a new attempt made now, or None if the name is free."""
         stored = self._claims.get(name)
         if stored is None or stored.resolution is Resolution.NOT_RUN:
             return None
@@ -125,8 +130,8 @@
             return ClaimAnswer(Ruling.IN_DOUBT)
         return ClaimAnswer(Ruling.RUNNING)
 
-    def in_doubt(self, now_ms: int, limit: int) -> list[ClaimRecord]:
-        """Claims whose outcome is not known, oldest first."""
+    def find_claims_in_doubt(self, now_ms: int, limit: int) -> list[ClaimRecord]:
+        """Return claims whose outcome is not known, oldest first, at most `limit`."""
         found = [
             ClaimRecord(name, c.attempt_id, c.entry, now_ms - c.claimed_at_ms)
             for name, c in self._claims.items()
@@ -135,16 +140,19 @@
         return sorted(found, key=lambda record: -record.age_ms)[:limit]
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         return self.freeze()()
 
     def freeze(self) -> Callable[[], bytes]:
-        """Return what encodes the state as of now; claims are replaced, not changed."""
+        """Return a function that encodes the state as of this call.
+
+        It needs no deep copy: a stored claim is replaced, never modified.
+        """
         claims = list(self._claims.items())
-        return partial(_encode, self.now_ms, claims, dict(self._tombstones))
+        return partial(_encode_state, self.now_ms, claims, dict(self._tombstones))
 
     def restore(self, data: bytes) -> None:
-        """Take over a state; b"" is the empty one."""
+        """Replace the state by a snapshot; b"" stands for the empty state."""
         self.__init__()
         if not data:
             return
@@ -158,7 +166,7 @@
 
     # Commands.
 
-    def _claim(self, claim: Claim) -> ClaimAnswer:
+    def _apply_claim(self, claim: Claim) -> ClaimAnswer:
         if claim.attempt_id in self._tombstones:
             return ClaimAnswer(Ruling.ATTEMPT_ABANDONED)
         stored = self._claims.get(claim.name)
@@ -166,9 +174,9 @@
             return ClaimAnswer(Ruling.KEY_REUSED)
         if stored is not None and stored.attempt_id == claim.attempt_id:
             if stored.resolution is None:
-                # The same claim sent again after its answer was lost.
+                # The claim was sent again because its answer was lost.
                 return ClaimAnswer(Ruling.GRANTED)
-        ruling = self.ruling_on(claim.name, self.now_ms)
+        ruling = self.get_ruling(claim.name, self.now_ms)
         if ruling is not None:
             return ruling
         granted = StoredClaim(
@@ -183,7 +191,7 @@
         self._schedule(claim.name, granted)
         return ClaimAnswer(Ruling.GRANTED)
 
-    def _finish(self, finish: Finish) -> None:
+    def _apply_finish(self, finish: Finish) -> None:
         stored = self._claims.get(finish.name)
         if stored is None or stored.attempt_id != finish.attempt_id:
             return
@@ -192,18 +200,19 @@
                 stored, resolution=finish.resolution, answer=finish.answer
             )
         if finish.resolution is Resolution.NOT_RUN:
-            # A late copy of its claim must not lock the name for nobody.
-            self._bury(finish.attempt_id)
+            # Without a tombstone, a late copy of the claim would be granted although no
+            # entry waits for it; it would block the name and end up in doubt.
+            self._add_tombstone(finish.attempt_id)
 
-    def _abandon(self, abandon: Abandon) -> None:
-        self._bury(abandon.attempt_id)
+    def _apply_abandon(self, abandon: Abandon) -> None:
+        self._add_tombstone(abandon.attempt_id)
         stored = self._claims.get(abandon.name)
         if stored is None or stored.attempt_id != abandon.attempt_id:
             return
         if stored.resolution is None:
             self._resolve(abandon.name, stored, Resolution.NOT_RUN)
 
-    def _settle(self, settle: Settle) -> None:
+    def _apply_settle(self, settle: Settle) -> None:
         stored = self._claims.get(settle.name)
         if stored is not None and self._is_in_doubt(stored, self.now_ms):
             self._resolve(settle.name, stored, settle.resolution)
@@ -220,14 +229,14 @@
     ) -> None:
         self._claims[name] = replace(stored, resolution=resolution)
 
-    def _bury(self, attempt_id: AttemptId) -> None:
-        self._tombstones.setdefault(attempt_id, self.now_ms + TOMBSTONE_MS)
+    def _add_tombstone(self, attempt_id: AttemptId) -> None:
+        self._tombstones.setdefault(attempt_id, self.now_ms + TOMBSTONE_RETENTION_MS)
 
     def _schedule(self, name: ClaimName, stored: StoredClaim) -> None:
         expiry = _Expiry(stored.forget_at_ms, name, stored.attempt_id)
         heapq.heappush(self._expiries, expiry)
 
-    def _forget_expired(self) -> None:
+    def _remove_expired(self) -> None:
         while self._expiries and self._expiries[0].at_ms <= self.now_ms:
             expiry = heapq.heappop(self._expiries)
             stored = self._claims.get(expiry.name)
@@ -236,13 +245,15 @@
             if stored.resolution in (Resolution.RAN, Resolution.NOT_RUN):
                 del self._claims[expiry.name]
             else:
-                stored = replace(stored, forget_at_ms=self.now_ms + TOMBSTONE_MS)
+                stored = replace(
+                    stored, forget_at_ms=self.now_ms + TOMBSTONE_RETENTION_MS
+                )
                 self._claims[expiry.name] = stored
                 self._schedule(expiry.name, stored)
-        self._forget_tombstones()
+        self._remove_expired_tombstones()
 
-    def _forget_tombstones(self) -> None:
-        # Insertion order is expiry order: every tombstone lives equally long.
+    def _remove_expired_tombstones(self) -> None:
+        # Every tombstone is kept equally long, so insertion order is expiry order.
         while self._tombstones:
             attempt_id, forget_at_ms = next(iter(self._tombstones.items()))
             if forget_at_ms > self.now_ms:
@@ -250,16 +261,18 @@
             del self._tombstones[attempt_id]
 
 
-def _encode(now_ms: int, claims: ClaimPairs, tombstones: dict[AttemptId, int]) -> bytes:
+def _encode_state(
+    now_ms: int, claims: ClaimPairs, tombstones: dict[AttemptId, int]
+) -> bytes:
     parts = [
-        msgspec.msgpack.encode(claims[start : start + CLAIMS_PER_PART])
-        for start in range(0, len(claims), CLAIMS_PER_PART)
+        msgspec.msgpack.encode(claims[start : start + CLAIMS_PER_SNAPSHOT_PART])
+        for start in range(0, len(claims), CLAIMS_PER_SNAPSHOT_PART)
     ]
     return msgspec.msgpack.encode(MachineState(now_ms, parts, tombstones))
 
 
-def unsettled(name: ClaimName) -> CinderwayError:
-    """Return the error for settling a claim that is not in doubt."""
+def not_in_doubt_error(name: ClaimName) -> CinderwayError:
+    """Return the error for an attempt to settle a claim that is not in doubt."""
     return CinderwayError(
         ErrorCode.CLAIM_RUNNING,
         f"claim {name.service}/{name.caller}/{name.key} is not in doubt",
--- a/src/cinderway/ledger/_service.py
+++ b/src/cinderway/ledger/_service.py
@@ -1,4 +1,4 @@
-"""Serves the ledger's conversation from one replica."""
+"""Serves the ledger's protocol from one replica."""
 
 import anyio
 
@@ -16,7 +16,7 @@
     Ruling,
     Settle,
 )
-from cinderway.ledger._machine import Command, LedgerMachine, unsettled
+from cinderway.ledger._machine import Command, LedgerMachine, not_in_doubt_error
 from cinderway.replication import Node
 from cinderway.wire import (
     Connection,
@@ -31,18 +31,18 @@
 
 
 class LedgerService:
-    """Answers claims while its replica leads; otherwise names the leader."""
+    """Answers requests while its replica is the leader; else points to the leader."""
 
     def __init__(self, node: Node, machine: LedgerMachine):
         self._node = node
         self._machine = machine
-        self._led_term = 0
-        self._led_since_ms = 0
-        self._base_ms = 0
+        self._clock_term = 0
+        self._term_start_monotonic_ms = 0
+        self._term_start_ledger_ms = 0
 
     @property
     def route(self) -> Route:
-        """What serves the ledger's connections."""
+        """The route that serves the ledger's connections."""
         return Route(LEDGER, self._serve)
 
     async def _serve(self, connection: Connection, name: str) -> None:
@@ -68,35 +68,43 @@
                 return await self._await_claim(request)
             case ListClaims():
                 await self._node.read_barrier(PROPOSE_TIMEOUT_S)
-                claims = self._machine.in_doubt(self._now_ms(), request.limit)
+                claims = self._machine.find_claims_in_doubt(
+                    self._ledger_time_ms(), request.limit
+                )
                 return ClaimList(claims)
 
     async def _propose(self, **request: Message) -> Message:
-        command = Command(self._now_ms(), **request)
+        command = Command(self._ledger_time_ms(), **request)
         answer = await self._node.propose(command.encode(), PROPOSE_TIMEOUT_S)
         return answer or Done()
 
     async def _settle(self, request: Settle) -> Message:
         await self._node.read_barrier(PROPOSE_TIMEOUT_S)
-        ruling = self._machine.ruling_on(request.name, self._now_ms())
+        ruling = self._machine.get_ruling(request.name, self._ledger_time_ms())
         if ruling is None or ruling.ruling is not Ruling.IN_DOUBT:
-            raise unsettled(request.name)
+            raise not_in_doubt_error(request.name)
         return await self._propose(settle=request)
 
     async def _await_claim(self, request: AwaitClaim) -> Message:
         await self._node.read_barrier(PROPOSE_TIMEOUT_S)
-        ruling = self._machine.ruling_on(request.name, self._now_ms())
+        ruling = self._machine.get_ruling(request.name, self._ledger_time_ms())
         with anyio.move_on_after(request.wait_ms / 1000):
             while ruling is not None and ruling.ruling is Ruling.RUNNING:
                 await self._node.wait_applied()
-                ruling = self._machine.ruling_on(request.name, self._now_ms())
+                ruling = self._machine.get_ruling(request.name, self._ledger_time_ms())
         return ruling or ClaimAnswer(Ruling.ATTEMPT_ABANDONED)
 
-    def _now_ms(self) -> int:
-        """The ledger's time: counted on from the last command of earlier leaders."""
+    def _ledger_time_ms(self) -> int:
+        """Return the ledger's time.
+
+        At the start of a term it is the time of the last applied command; from there
+        it advances with the monotonic clock.
+        """
         term = self._node.core.term
-        if term != self._led_term:
-            self._led_term = term
-            self._led_since_ms = monotonic_ms()
-            self._base_ms = self._machine.now_ms
-        return self._base_ms + monotonic_ms() - self._led_since_ms
+        if term != self._clock_term:
+            self._clock_term = term
+            self._term_start_monotonic_ms = monotonic_ms()
+            self._term_start_ledger_ms = self._machine.now_ms
+        return (
+            self._term_start_ledger_ms + monotonic_ms() - self._term_start_monotonic_ms
+        )
--- a/tests/ledger/test_machine.py
+++ b/tests/ledger/test_machine.py
@@ -1,4 +1,4 @@
-"""Claims: of all attempts on one name, a second only after the first did not run."""
+"""Of all attempts on one name, a second is granted only if the first did not run."""
 
 import unittest
 
@@ -21,7 +21,7 @@
     StoredAnswer,
 )
 from cinderway.ledger._conversation import Abandon
-from cinderway.ledger._machine import TOMBSTONE_MS, Command
+from cinderway.ledger._machine import TOMBSTONE_RETENTION_MS, Command
 
 NAME = ClaimName("payouts", "ana", "key-1")
 RUN_MS = 1_000
@@ -29,35 +29,35 @@
 
 
 class Driver:
-    """A machine with a clock; each call is one committed command."""
+    """A machine with a clock; each call commits one command."""
 
     def __init__(self):
         self.machine = LedgerMachine()
         self.now_ms = 0
 
-    def do(self, **request):
+    def commit(self, **request):
         command = Command(self.now_ms, **request)
         return self.machine.apply(1, command.encode())
 
     def claim(self, attempt, fingerprint=b"f", name=NAME):
         claim = Claim(name, fingerprint, attempt, "entry", RUN_MS, RETENTION_MS)
-        return self.do(claim=claim).ruling
+        return self.commit(claim=claim).ruling
 
     def finish(self, attempt, resolution, answer=None):
-        self.do(finish=Finish(NAME, attempt, resolution, answer or StoredAnswer()))
+        self.commit(finish=Finish(NAME, attempt, resolution, answer or StoredAnswer()))
 
     def abandon(self, attempt):
-        self.do(abandon=Abandon(NAME, attempt))
+        self.commit(abandon=Abandon(NAME, attempt))
 
     def settle(self, resolution):
-        self.do(settle=Settle(NAME, resolution))
+        self.commit(settle=Settle(NAME, resolution))
 
 
 class ClaimTest(unittest.TestCase):
     def setUp(self):
         self.driver = Driver()
 
-    def test_second_attempt_is_told_that_the_first_runs(self):
+    def test_second_attempt_is_answered_that_the_first_is_running(self):
         self.assertIs(self.driver.claim("a"), Ruling.GRANTED)
         self.assertIs(self.driver.claim("b"), Ruling.RUNNING)
 
@@ -70,7 +70,7 @@
         kept = StoredAnswer(True, 201, [], b"paid")
         self.driver.finish("a", Resolution.RAN, kept)
         self.assertIs(self.driver.claim("b"), Ruling.RAN)
-        ruling = self.driver.machine.ruling_on(NAME, 0)
+        ruling = self.driver.machine.get_ruling(NAME, 0)
         self.assertEqual(ruling.answer, kept)
 
     def test_same_key_with_another_body_is_refused(self):
@@ -82,28 +82,28 @@
         self.assertIs(self.driver.claim("a"), Ruling.ATTEMPT_ABANDONED)
         self.assertIs(self.driver.claim("b"), Ruling.GRANTED)
 
-    def test_abandoning_a_landed_claim_lets_the_next_try_run(self):
+    def test_abandoning_a_granted_claim_lets_the_next_attempt_run(self):
         self.driver.claim("a")
         self.driver.abandon("a")
         self.assertIs(self.driver.claim("b"), Ruling.GRANTED)
 
-    def test_late_copy_of_a_claim_that_did_not_run_locks_nobody_out(self):
+    def test_late_copy_of_a_claim_that_did_not_run_does_not_block_the_name(self):
         self.driver.claim("a")
         self.driver.finish("a", Resolution.NOT_RUN)
         self.assertIs(self.driver.claim("a"), Ruling.ATTEMPT_ABANDONED)
         self.assertIs(self.driver.claim("b"), Ruling.GRANTED)
 
-    def test_claim_whose_entry_died_turns_in_doubt_and_waits_for_an_operator(self):
+    def test_claim_whose_entry_died_becomes_in_doubt_until_an_operator_settles_it(self):
         self.driver.claim("a")
         self.driver.now_ms = RUN_MS
         self.assertIs(self.driver.claim("b"), Ruling.IN_DOUBT)
-        self.assertEqual(len(self.driver.machine.in_doubt(RUN_MS, 10)), 1)
+        self.assertEqual(len(self.driver.machine.find_claims_in_doubt(RUN_MS, 10)), 1)
         self.driver.settle(Resolution.NOT_RUN)
         self.assertIs(self.driver.claim("b"), Ruling.GRANTED)
 
-    def test_claim_in_doubt_is_never_forgotten(self):
+    def test_claim_in_doubt_is_never_removed(self):
         self.driver.claim("a")
-        self.driver.now_ms = 100 * (RETENTION_MS + TOMBSTONE_MS)
+        self.driver.now_ms = 100 * (RETENTION_MS + TOMBSTONE_RETENTION_MS)
         self.assertIs(self.driver.claim("b"), Ruling.IN_DOUBT)
 
     def test_running_claim_cannot_be_settled(self):
@@ -111,20 +111,20 @@
         self.driver.settle(Resolution.NOT_RUN)
         self.assertIs(self.driver.claim("b"), Ruling.RUNNING)
 
-    def test_recorded_run_is_forgotten_after_its_retention(self):
+    def test_recorded_run_is_removed_after_its_retention(self):
         self.driver.claim("a")
         self.driver.finish("a", Resolution.RAN)
         self.driver.now_ms = RUN_MS + RETENTION_MS
         self.driver.claim("b", name=ClaimName("payouts", "ana", "other"))
         self.assertEqual(len(self.driver.machine), 1)
 
-    def test_snapshot_is_of_the_moment_at_which_it_was_begun(self):
+    def test_snapshot_shows_the_state_when_it_was_started(self):
         self.driver.claim("a")
         encode = self.driver.machine.freeze()
         self.driver.finish("a", Resolution.RAN)
         restored = LedgerMachine()
         restored.restore(encode())
-        self.assertIs(restored.ruling_on(NAME, 0).ruling, Ruling.RUNNING)
+        self.assertIs(restored.get_ruling(NAME, 0).ruling, Ruling.RUNNING)
 
     def test_time_never_goes_back(self):
         self.driver.claim("a")
@@ -134,11 +134,11 @@
         self.assertIs(self.driver.claim("c"), Ruling.IN_DOUBT)
 
 
-class Attempts(RuleBasedStateMachine):
-    """Entries that claim, run, crash and resend, over a ledger that restarts.
+class AttemptsModel(RuleBasedStateMachine):
+    """Entries that claim, run, crash and resend, with a ledger that restarts.
 
-    Every message may be lost, late or double. `runs` counts what a backend server
-    did: more than one would be a household that pays twice.
+    Every message may be lost, delayed or duplicated. `runs` counts the runs at the
+    backend server: more than one would be, for instance, a payment made twice.
     """
 
     @initialize()
@@ -147,43 +147,45 @@
         self.attempts = 0
         self.sent = []
         self.granted = set()
-        self.given_up = set()
+        self.not_dispatchable = set()
         self.runs = 0
 
     @rule()
-    def try_anew(self):
+    def start_attempt(self):
         self.attempts += 1
         attempt = f"t{self.attempts}"
         self.sent.append(("claim", attempt, None))
 
-    @rule(position=st.integers(0, 50), twice=st.booleans(), heard=st.booleans())
-    def arrive(self, position, twice, heard):
+    @rule(
+        position=st.integers(0, 50), twice=st.booleans(), answer_arrives=st.booleans()
+    )
+    def deliver(self, position, twice, answer_arrives):
         if not self.sent:
             return
         sent = self.sent.pop(position % len(self.sent))
         if twice:
             self.sent.append(sent)
-        what, attempt, resolution = sent
-        match what:
+        kind, attempt, resolution = sent
+        match kind:
             case "claim":
                 ruling = self.driver.claim(attempt)
-                if ruling is Ruling.GRANTED and heard:
+                if ruling is Ruling.GRANTED and answer_arrives:
                     self.granted.add(attempt)
             case "abandon":
                 self.driver.abandon(attempt)
             case "finish":
                 self.driver.finish(attempt, resolution)
 
-    @rule(ran=st.booleans(), records=st.booleans())
-    def dispatch(self, ran, records):
-        ready = sorted(self.granted - self.given_up)
+    @rule(ran=st.booleans(), is_recorded=st.booleans())
+    def dispatch(self, ran, is_recorded):
+        ready = sorted(self.granted - self.not_dispatchable)
         if not ready:
             return
         attempt = ready[0]
-        self.given_up.add(attempt)
+        self.not_dispatchable.add(attempt)
         self.runs += ran
         resolution = Resolution.RAN if ran else Resolution.NOT_RUN
-        if records:
+        if is_recorded:
             self.sent.append(("finish", attempt, resolution))
         assert self.runs <= 1, "a run-once request ran twice"
 
@@ -191,12 +193,12 @@
     def give_up(self, number):
         attempt = f"t{number}"
         if number <= self.attempts and attempt not in self.granted:
-            self.given_up.add(attempt)
+            self.not_dispatchable.add(attempt)
             self.sent.append(("abandon", attempt, None))
 
     @rule(ms=st.sampled_from([10, RUN_MS, RETENTION_MS // 2]))
     def pass_time(self, ms):
-        """Less than the retention in all: what is forgotten may run again."""
+        """Advance by less than the retention in all; a removed claim may run again."""
         self.driver.now_ms = min(self.driver.now_ms + ms, RETENTION_MS // 2)
 
     @rule()
@@ -207,7 +209,7 @@
 
 
 class AttemptsTest(unittest.TestCase):
-    def test_request_never_runs_twice_whatever_is_lost_late_or_double(self):
+    def test_request_never_runs_twice_with_lost_late_or_duplicate_messages(self):
         run_state_machine_as_test(
-            Attempts, settings=settings(max_examples=300, stateful_step_count=50)
+            AttemptsModel, settings=settings(max_examples=300, stateful_step_count=50)
         )
