--- a/src/cinderway/table/__init__.py
+++ b/src/cinderway/table/__init__.py
@@ -1,4 +1,4 @@
-"""The table of services and backend servers: its rules, its edits, its copies."""
+"""The table of services and backend servers: columns, rules, edits, replication."""
 
 from cinderway.table._columns import Column, allowed_values, format_cell, parse_cell
 from cinderway.table._conversation import (
--- a/src/cinderway/table/_columns.py
+++ b/src/cinderway/table/_columns.py
@@ -1,4 +1,4 @@
-"""How a column is declared: its type, unit, range, default and help, in one place."""
+"""Column declarations: type, unit, range, default and help text in one place."""
 
 import dataclasses
 import re
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Integer:
-    """A whole number within a range, in a unit."""
+    """An integer within a range, with a unit."""
 
     minimum: int
     maximum: int
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Decimal:
-    """A number within a range, in a unit."""
+    """A decimal number within a range, with a unit."""
 
     minimum: float
     maximum: float
@@ -43,18 +43,18 @@
 
 @dataclass(frozen=True)
 class Text:
-    """Text that matches a pattern; `form` says in words what is allowed."""
+    """Text that matches a pattern; `description` states in words what is allowed."""
 
     pattern: str
-    form: str
+    description: str
 
 
 @dataclass(frozen=True)
 class TextSet:
-    """Texts separated by blanks, each matching a pattern."""
+    """A set of texts separated by whitespace, each matching a pattern."""
 
     pattern: str
-    form: str
+    description: str
 
 
 Kind = Integer | Decimal | Choice | Flag | Text | TextSet
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class Column:
-    """A rule of the table; `level` is the table format that brought it in."""
+    """A declared column; `level` is the table level (format) that introduced it."""
 
     kind: Kind
     help: str
@@ -78,8 +78,8 @@
     return dataclasses.field(metadata={COLUMN_KEY: declared}, **default)
 
 
-def columns_of(row_type: type) -> dict[str, Column]:
-    """Return the columns that a row type declares, by name."""
+def get_columns(row_type: type) -> dict[str, Column]:
+    """Return the columns declared by a row type, by name."""
     columns = {}
     for field in dataclasses.fields(row_type):
         declared = field.metadata.get(COLUMN_KEY)
@@ -96,7 +96,7 @@
 
 
 def allowed_values(kind: Kind) -> str:
-    """Say in words what a column takes."""
+    """Describe in words which values a column accepts."""
     match kind:
         case Integer(minimum, maximum, unit) | Decimal(minimum, maximum, unit):
             return f"{minimum} to {maximum} {unit}"
@@ -104,16 +104,17 @@
             return " | ".join(option.value for option in options)
         case Flag():
             return "yes | no"
-        case Text(form=form):
-            return form
-        case TextSet(form=form):
-            return f"any number of: {form}"
+        case Text(description=description):
+            return description
+        case TextSet(description=description):
+            return f"any number of: {description}"
 
 
 def parse_cell(declared: Column, text: str) -> Any:
     """Return the typed value of a cell's text.
 
-    Raises CinderwayError with CELL_INVALID, saying what was given and allowed.
+    Raises CinderwayError with CELL_INVALID; its detail names the given text and the
+    allowed values.
     """
     value = _parse(declared.kind, text.strip())
     if value is None:
--- a/src/cinderway/table/_conversation.py
+++ b/src/cinderway/table/_conversation.py
@@ -1,4 +1,4 @@
-"""What operators, entries and control replicas say to each other about the table."""
+"""The messages about the table between operators, entries and control replicas."""
 
 from cinderway._ids import Address, DataHall, EntryName, ReplicaId
 from cinderway.table._edits import Edit, EditAnswer
@@ -7,7 +7,7 @@
 
 
 class EntryReport(Message, frozen=True):
-    """What an entry says of itself with each request, as its heartbeat."""
+    """An entry's own state, sent with each FollowTable request as its heartbeat."""
 
     name: EntryName
     data_hall: DataHall
@@ -19,16 +19,16 @@
 
 
 class HeardReport(Message, frozen=True):
-    """An entry's report as passed on, with its age."""
+    """An entry's report relayed by another process, with its age."""
 
     report: EntryReport
     ago_ms: int
 
 
 class FollowTable(Message, frozen=True):
-    """Ask for the table beyond a revision; the answer waits up to `wait_ms`.
+    """Request what changed after a revision; a long poll of up to `wait_ms`.
 
-    With `must_be_current` only a leader that a quorum confirms may answer.
+    With `must_be_current`, only a leader that a quorum has confirmed may answer.
     """
 
     report: EntryReport
@@ -38,17 +38,17 @@
 
 
 class ReadTable(Message, frozen=True):
-    """Ask the leader for the whole table as of now."""
+    """Request the whole current table from the leader."""
 
 
 class TableAnswer(Message, frozen=True):
     """The table's change since the revision asked for.
 
-    `sequence` is the edit sequence at the read. `is_current` is set only where a
-    quorum confirmed that nothing newer had been acknowledged; `is_trusted` where the
-    answering entry serves callers by this table. `own_revision` is the highest
-    revision the answering side ever heard the asking entry report. `heard` is a
-    sample of the entries that the answering side knows.
+    `sequence` is the edit sequence at the read. `is_current` is set only if a quorum
+    confirmed that nothing newer had been acknowledged, `is_trusted` only if the
+    answering entry itself serves callers with this table. `own_revision` is the highest
+    revision that the answering process ever received in the requesting entry's reports.
+    `heard` is a sample of the entry reports that it knows.
     """
 
     delta: TableDelta
@@ -60,17 +60,17 @@
 
 
 class SubmitEdit(Message, frozen=True):
-    """Ask the leader to carry out an edit."""
+    """Ask the leader to apply an edit."""
 
     edit: Edit
 
 
 class ReadStatus(Message, frozen=True):
-    """Ask a control replica what it sees."""
+    """Request a control replica's view of the control group and the fleet."""
 
 
 class ReplicaStatus(Message, frozen=True):
-    """A replica as the answering one sees it."""
+    """The state of a replica as known to the answering replica."""
 
     replica_id: ReplicaId
     address: Address
@@ -80,7 +80,7 @@
 
 
 class EntryStatus(Message, frozen=True):
-    """An entry as the answering control replica last heard of it."""
+    """The last report of an entry that the answering control replica received."""
 
     name: EntryName
     data_hall: DataHall
@@ -91,7 +91,7 @@
 
 
 class StatusAnswer(Message, frozen=True):
-    """State of the control group and of the fleet, from one replica's side."""
+    """The state of the control group and of the fleet, as known to one replica."""
 
     replica_id: ReplicaId
     role: str
@@ -105,7 +105,7 @@
 
 
 class RemoveReplica(Message, frozen=True):
-    """Ask the leader to take a replica out of the group."""
+    """Ask the leader to remove a replica from the group."""
 
     replica_id: ReplicaId
 
--- a/src/cinderway/table/_csv.py
+++ b/src/cinderway/table/_csv.py
@@ -1,4 +1,4 @@
-"""The table as CSV: one file a sheet, a row a line, a column a rule."""
+"""The table as CSV: one file per sheet, one line per row."""
 
 import csv
 import io
@@ -14,7 +14,7 @@
 
 
 def export_csv(table: Table, sheet: Sheet) -> str:
-    """Return a sheet as CSV with every column; defaults are written out."""
+    """Return a sheet as CSV with every column, defaults included."""
     text = io.StringIO()
     writer = csv.writer(text, lineterminator="\n")
     writer.writerow([NAME_COLUMN, *COLUMNS[sheet]])
@@ -25,11 +25,11 @@
 
 
 def changes_from_csv(table: Table, sheet: Sheet, text: str) -> list[Change]:
-    """Return the changes that lead from the table to a CSV's sheet.
+    """Return the changes that turn a sheet of the table into the sheet given as CSV.
 
-    Columns that the CSV leaves out keep their values, and an empty cell stands for
-    the default; rows that it leaves out are removed. Raises CSV_INVALID with the
-    line and the column.
+    Columns missing from the CSV keep their values, and an empty cell stands for the
+    default; rows missing from the CSV are removed. Raises CSV_INVALID, naming the line
+    and the column.
     """
     reader = csv.reader(io.StringIO(text))
     header = _check_header(sheet, next(reader, []))
@@ -39,13 +39,13 @@
         if not values:
             continue
         if len(values) != len(header):
-            raise _invalid(
+            raise _csv_error(
                 reader.line_num, f"{len(values)} values for {len(header)} columns"
             )
         cells = dict(zip(header, values, strict=True))
         name = cells.pop(NAME_COLUMN)
         if name in seen_names:
-            raise _invalid(reader.line_num, f"{NAME_COLUMN}: {name!r} stands twice")
+            raise _csv_error(reader.line_num, f"{NAME_COLUMN}: {name!r} appears twice")
         seen_names.add(name)
         changes += _row_changes(table, sheet, name, cells, reader.line_num)
     changes += _removals(table, sheet, seen_names)
@@ -55,7 +55,7 @@
 def _check_header(sheet: Sheet, header: list[str]) -> list[str]:
     unknown = [name for name in header if name not in (NAME_COLUMN, *COLUMNS[sheet])]
     if NAME_COLUMN not in header or unknown or len(set(header)) != len(header):
-        raise _invalid(
+        raise _csv_error(
             1,
             f"header {header}; allowed: {NAME_COLUMN} and any of "
             + ", ".join(COLUMNS[sheet]),
@@ -73,9 +73,9 @@
     for column_name, text in cells.items():
         declared = COLUMNS[sheet][column_name]
         try:
-            value = _value_of(declared, text)
+            value = _parse_cell_or_default(declared, text)
         except CinderwayError as error:
-            raise _invalid(line, error.detail) from error
+            raise _csv_error(line, error.detail) from error
         current = getattr(before.typed, column_name) if before else declared.default
         if value == current and not (before is None and declared.is_required):
             continue
@@ -92,8 +92,8 @@
     return changes
 
 
-def _value_of(declared: Column, text: str) -> Any:
-    # As in a spreadsheet, an empty cell is one where the default holds.
+def _parse_cell_or_default(declared: Column, text: str) -> Any:
+    # An empty cell means the default, as users of spreadsheets expect.
     if not text.strip() and not declared.is_required:
         return declared.default
     return parse_cell(declared, text)
@@ -116,7 +116,7 @@
     ]
 
 
-def _invalid(line: int, detail: str) -> CinderwayError:
+def _csv_error(line: int, detail: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.CSV_INVALID, f"line {line}: {detail}", step=Step.READ_CSV
     )
--- a/src/cinderway/table/_edits.py
+++ b/src/cinderway/table/_edits.py
@@ -1,4 +1,4 @@
-"""Edits of the table, and the answers to them."""
+"""Edits of the table and the answers to them."""
 
 from enum import Enum
 
@@ -21,8 +21,9 @@
 class Change(Message, frozen=True):
     """One change of an edit.
 
-    `seen_revision` is the revision of the cell (SET) or row (REMOVE) that the
-    operator saw; it does not count for a row that the same edit creates.
+    `seen_revision` is the revision of the cell (SET) or row (REMOVE) that the operator
+    saw when making the edit. It is ignored when a cell is set in a row that the same
+    edit creates.
     """
 
     action: Action
@@ -36,8 +37,9 @@
 class Edit(Message, frozen=True):
     """Changes that take effect together or not at all.
 
-    `seen_sequence` is the table's sequence at the operator's read. It orders the
-    edit against the window of remembered edit ids.
+    `seen_sequence` is the table's edit sequence when the operator read the table. It
+    shows whether the edit's id may already have been dropped from the window of
+    remembered edit ids.
     """
 
     edit_id: EditId
@@ -46,12 +48,12 @@
     changes: list[Change]
 
     def encode(self) -> bytes:
-        """Return the bytes kept in the replicated log."""
+        """Return the bytes that are stored in the replicated log."""
         return msgspec.msgpack.encode(self)
 
     @staticmethod
     def decode(data: bytes) -> "Edit":
-        """Return the edit that `encode` gave these bytes for."""
+        """Return the edit that `encode` turned into these bytes."""
         return msgspec.msgpack.decode(data, type=Edit)
 
 
@@ -63,10 +65,11 @@
 
 
 class EditAnswer(Message, frozen=True):
-    """The final answer to an edit; the same for each resend.
+    """The final answer to an edit; every resend gets the same one.
 
-    `revision` is the table's revision that the edit made, or, if it lost a race,
-    the revision of the cell that won; `winner_value` is then that cell's value.
+    `revision` is the table revision that an accepted edit created. If an earlier edit
+    won a race against this one, `revision` is the revision of the cell or row in
+    conflict, 0 if that row does not exist, and `winner_value` the cell's current value.
     """
 
     verdict: Verdict
@@ -77,12 +80,12 @@
 
 
 def accepted(revision: int) -> EditAnswer:
-    """Answer an edit that took effect."""
+    """Return the answer to an edit that took effect."""
     return EditAnswer(Verdict.ACCEPTED, revision)
 
 
 def refused(
     code: ErrorCode, detail: str, *, revision: int = 0, winner_value: str = ""
 ) -> EditAnswer:
-    """Answer an edit that did not take effect."""
+    """Return the answer to an edit that did not take effect."""
     return EditAnswer(Verdict.REFUSED, revision, code.value, detail, winner_value)
--- a/src/cinderway/table/_machine.py
+++ b/src/cinderway/table/_machine.py
@@ -1,7 +1,7 @@
-"""The replicated state machine of the table: edits in, answers out.
+"""The replicated state machine that applies edits to the table.
 
-It depends on the sequence of edits only, so every replica gives every edit the same
-answer.
+Its state depends only on the sequence of edits, so every replica gives the same answer
+to the same edit.
 """
 
 from collections import OrderedDict
@@ -26,11 +26,11 @@
     parse_row,
 )
 
-REMEMBERED_EDITS = 20_000
+REMEMBERED_EDITS_LIMIT = 20_000
 
 
 class RememberedEdit(msgspec.Struct, frozen=True):
-    """What an edit id stood for, and the answer that it got."""
+    """The sequence, content digest and answer of an edit whose id was used."""
 
     sequence: int
     content_digest: int
@@ -38,7 +38,7 @@
 
 
 class MachineState(msgspec.Struct, frozen=True):
-    """The snapshot's form."""
+    """The format of the snapshot."""
 
     sequence: int
     forgotten_sequence: int
@@ -55,26 +55,26 @@
 class TableMachine:
     """Applies edits one after another.
 
-    Guarantees: an edit takes effect wholly or not at all, at most once; the same id
-    with the same content gets the same answer for as long as it is remembered, and
-    is refused after that. `sequence` counts all edits, `table.revision` the accepted
-    ones.
+    Guarantees: an edit takes effect wholly or not at all, and at most once. While an
+    edit's id is remembered, a resend of the same content gets the same answer; after
+    that it is refused. `sequence` counts every new edit, accepted or refused, except
+    those refused as too old; `table.revision` rises by one with each accepted edit.
     """
 
-    def __init__(self, remembered_limit: int = REMEMBERED_EDITS):
+    def __init__(self, remembered_limit: int = REMEMBERED_EDITS_LIMIT):
         self.table = Table()
         self.sequence = 0
         self._remembered_limit = remembered_limit
         self._remembered: OrderedDict[EditId, RememberedEdit] = OrderedDict()
-        # Edits up to this sequence are forgotten.
+        # Ids of edits up to this sequence are no longer remembered.
         self._forgotten_sequence = 0
 
     def apply(self, index: int, data: bytes) -> EditAnswer:
-        """Apply the edit that a log entry holds."""
+        """Apply the edit in a log entry."""
         return self.apply_edit(Edit.decode(data))
 
     def apply_edit(self, edit: Edit) -> EditAnswer:
-        """Apply an edit, or give again the answer that it got before."""
+        """Apply an edit, or return the earlier answer if it is a resend."""
         content_digest = xxhash.xxh3_64_intdigest(edit.encode())
         remembered = self._remembered.get(edit.edit_id)
         if remembered is not None:
@@ -82,14 +82,15 @@
                 return remembered.answer
             return refused(
                 ErrorCode.EDIT_ID_REUSED,
-                f"edit id {edit.edit_id} was used for another edit",
+                f"edit id {edit.edit_id} was already used for a different edit",
             )
-        # A resend repeats the sequence that its operator saw, which is older than
-        # the edit itself: whatever could have been forgotten is caught here.
+        # A resend carries the same seen sequence as the first sending, which is lower
+        # than the edit's own sequence. So this refuses every resend of an edit whose id
+        # is no longer remembered.
         if edit.seen_sequence < self._forgotten_sequence:
             return refused(
                 ErrorCode.EDIT_TOO_OLD,
-                f"the edit was made at sequence {edit.seen_sequence}; edits up to "
+                f"the edit is based on sequence {edit.seen_sequence}, but edits up to "
                 f"{self._forgotten_sequence} are forgotten: read the table again",
             )
         self.sequence += 1
@@ -98,11 +99,14 @@
         return answer
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the whole state, encoded."""
         return self.freeze()()
 
     def freeze(self) -> Callable[[], bytes]:
-        """Return what encodes the state as of now; its parts never change."""
+        """Return a function that encodes the state as of this call.
+
+        It needs no deep copy: the parts of the state are immutable.
+        """
         state = MachineState(
             self.sequence,
             self._forgotten_sequence,
@@ -112,7 +116,7 @@
         return partial(msgspec.msgpack.encode, state)
 
     def restore(self, data: bytes) -> None:
-        """Take over a state; b"" is the empty one."""
+        """Replace the state by a snapshot; b"" stands for the empty state."""
         self.__init__(self._remembered_limit)
         if not data:
             return
@@ -151,10 +155,10 @@
 
 
 def founding_state(first_revision: int) -> bytes:
-    """Return the snapshot of an empty table that goes on from a revision.
+    """Return the snapshot of an empty table at a given revision.
 
-    Entries never go back, so a table founded anew must begin above whatever they
-    have in force.
+    Entries never go back to an older revision, so a control group that is created
+    anew must start above every revision that an entry has in force.
     """
     table = TableDelta(0, first_revision, 0, [], [])
     return msgspec.msgpack.encode(MachineState(0, 0, table, []))
@@ -167,23 +171,23 @@
         draft = drafts.get(key)
         if draft is None:
             draft = drafts[key] = _Draft(key, table.get(key))
-        draft.change(change, revision)
-    return {key: draft.finish(revision) for key, draft in drafts.items()}
+        draft.apply_change(change, revision)
+    return {key: draft.build_row(revision) for key, draft in drafts.items()}
 
 
 class _Draft:
-    """A row while an edit's changes are made to it."""
+    """A row to which the changes of an edit are being applied."""
 
     def __init__(self, key: RowKey, before: Row | None):
         self.key = key
         self._before = before
-        self._is_there = before is not None
+        self._exists = before is not None
         self._created_revision = before.data.created_revision if before else 0
         self._cells = (
             {cell.column: cell for cell in before.data.cells} if before else {}
         )
 
-    def change(self, change: Change, revision: int) -> None:
+    def apply_change(self, change: Change, revision: int) -> None:
         match change.action:
             case Action.CREATE:
                 self._create(revision)
@@ -192,8 +196,8 @@
             case Action.REMOVE:
                 self._remove(change)
 
-    def finish(self, revision: int) -> Row | None:
-        if not self._is_there:
+    def build_row(self, revision: int) -> Row | None:
+        if not self._exists:
             return None
         cells = sorted(self._cells.values(), key=lambda cell: cell.column)
         data = RowData(
@@ -202,61 +206,61 @@
         return parse_row(data)
 
     def _create(self, revision: int) -> None:
-        if self._is_there:
+        if self._exists:
             raise _Refusal(
                 refused(
                     ErrorCode.REVISION_CONFLICT,
-                    f"{self._label} exists already",
+                    f"{self._label} already exists",
                     revision=self._created_revision,
                 )
             )
-        self._is_there = True
+        self._exists = True
         self._created_revision = revision
         self._cells = {}
 
     def _set(self, change: Change, revision: int) -> None:
-        self._require_there()
+        self._require_exists()
         if change.column not in COLUMNS[self.key.sheet]:
             raise _Refusal(
                 refused(
                     ErrorCode.CELL_INVALID,
-                    f"{self._label}: no column {change.column!r}; there are "
+                    f"{self._label}: unknown column {change.column!r}; known columns: "
                     + ", ".join(COLUMNS[self.key.sheet]),
                 )
             )
         if self._created_revision != revision:
-            self._require_seen(change)
+            self._require_current_revision(change)
         self._cells[change.column] = CellData(change.column, change.value, revision)
 
-    def _require_seen(self, change: Change) -> None:
+    def _require_current_revision(self, change: Change) -> None:
         current = self._before.cell_revision(change.column)
         if current != change.seen_revision:
             raise _Refusal(
                 refused(
                     ErrorCode.REVISION_CONFLICT,
-                    f"{self._label}, column {change.column}: you saw revision "
-                    f"{change.seen_revision}, it is at {current}",
+                    f"{self._label}, column {change.column}: edit based on revision "
+                    f"{change.seen_revision}, current is {current}",
                     revision=current,
                     winner_value=self._before.cell_value(change.column),
                 )
             )
 
     def _remove(self, change: Change) -> None:
-        self._require_there()
+        self._require_exists()
         current = self._before.data.changed_revision if self._before else 0
         if current != change.seen_revision:
             raise _Refusal(
                 refused(
                     ErrorCode.REVISION_CONFLICT,
-                    f"{self._label}: you saw revision {change.seen_revision}, "
-                    f"it is at {current}",
+                    f"{self._label}: edit based on revision {change.seen_revision}, "
+                    f"current is {current}",
                     revision=current,
                 )
             )
-        self._is_there = False
+        self._exists = False
 
-    def _require_there(self) -> None:
-        if not self._is_there:
+    def _require_exists(self) -> None:
+        if not self._exists:
             raise _Refusal(
                 refused(ErrorCode.REVISION_CONFLICT, f"{self._label} does not exist")
             )
--- a/src/cinderway/table/_rows.py
+++ b/src/cinderway/table/_rows.py
@@ -1,7 +1,7 @@
 """The two sheets of the table: services, and the backend servers behind them.
 
-The declarations below are the only ones: checks, command-line help and the
-operators' page are made from them.
+Columns are declared only here: the checks, the command-line help and the operators'
+page of columns are derived from these declarations.
 """
 
 from dataclasses import dataclass
@@ -17,28 +17,28 @@
     Text,
     TextSet,
     column,
-    columns_of,
+    get_columns,
 )
 
-# Raised with each column that an older entry would not understand.
+# Increased with each new column that an entry of an older version cannot handle.
 TABLE_LEVEL = 1
 
 NAME_PATTERN = r"[a-z0-9][a-z0-9.-]{0,62}"
-NAME_FORM = "1 to 63 of a-z 0-9 . -, beginning with a letter or digit"
+NAME_DESCRIPTION = "1 to 63 of a-z 0-9 . -, beginning with a letter or digit"
 ADDRESS_PATTERN = r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}"
 PATH_PATTERN = r"/[^\s?#]*"
 RUN_ONCE_PATTERN = r"(POST|PUT|PATCH|DELETE):/[^\s?#]*"
 
 
 class Sheet(Enum):
-    """Which of the two sheets a row stands in."""
+    """The sheet that a row belongs to."""
 
     SERVICES = "services"
     SERVERS = "servers"
 
 
 class Bias(Enum):
-    """Which mistake detection should rather make."""
+    """Which error failure detection should prefer: false alarms or late detection."""
 
     DETECT_SOON = "detect-soon"
     BALANCED = "balanced"
@@ -46,14 +46,14 @@
 
 
 class AnswerMode(Enum):
-    """How an answer is relayed to the caller."""
+    """How a response is relayed to the caller: buffered whole, or streamed."""
 
     WHOLE = "whole"
     STREAM = "stream"
 
 
 class ServerState(Enum):
-    """What an operator wants of a backend server."""
+    """The state of a backend server as set by an operator."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServiceRow:
-    """One service and its rules."""
+    """One service and its configuration."""
 
     name: ServiceName
     routes: frozenset[str] = column(
@@ -163,14 +163,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServerRow:
-    """One backend server and its rules."""
+    """One backend server and its configuration."""
 
     name: ServerName
     service: ServiceName = column(
-        Text(NAME_PATTERN, NAME_FORM), help="The service that this server belongs to."
+        Text(NAME_PATTERN, NAME_DESCRIPTION),
+        help="The service that this server belongs to.",
     )
     data_hall: DataHall = column(
-        Text(NAME_PATTERN, NAME_FORM), help="The data hall that it stands in."
+        Text(NAME_PATTERN, NAME_DESCRIPTION), help="The data hall that it stands in."
     )
     address: Address = column(
         Text(ADDRESS_PATTERN, "IP-number:port"), help="Where it takes requests."
@@ -198,12 +199,12 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether the table lets this server have new requests."""
+        """Whether the table allows new requests to be sent to this server."""
         return self.state is ServerState.ACTIVE and self.weight > 0
 
     @property
     def own_name(self) -> ServerName:
-        """The name by which the server knows itself."""
+        """The name that the server itself uses, sent to it as the expected name."""
         return self.name
 
 
@@ -212,5 +213,5 @@
     Sheet.SERVERS: ServerRow,
 }
 COLUMNS: dict[Sheet, dict[str, Column]] = {
-    sheet: columns_of(row_type) for sheet, row_type in ROW_TYPES.items()
+    sheet: get_columns(row_type) for sheet, row_type in ROW_TYPES.items()
 }
--- a/src/cinderway/table/_rules.py
+++ b/src/cinderway/table/_rules.py
@@ -1,53 +1,53 @@
-"""Rules that span rows. An edit that breaks one is refused before it takes effect."""
+"""Rules that involve several rows; an edit that breaks one is refused."""
 
 from collections.abc import Mapping
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import ServerName, ServiceName
 from cinderway.table._rows import ServerRow, ServiceRow, Sheet
-from cinderway.table._table import Row, RowKey, Table, unique_texts
+from cinderway.table._table import Row, RowKey, Table, unique_values
 
-Touched = Mapping[RowKey, Row | None]
+TouchedRows = Mapping[RowKey, Row | None]
 ServersByService = dict[ServiceName, dict[ServerName, ServerRow]]
 
 
-def check_rules(table: Table, touched: Touched) -> None:
+def check_rules(table: Table, touched: TouchedRows) -> None:
     """Raise RULE_BROKEN if the table with the touched rows would break a rule.
 
-    Only services that a touched row belongs to, before or after, are looked at,
-    so that the cost does not grow with the table.
+    Besides uniqueness, only services are checked that a touched row belongs to before
+    or after the edit, so that the cost does not grow with the table.
     """
     _check_unique(table, touched)
-    for service, servers in sorted(_servers_after(table, touched).items()):
+    for service, servers in sorted(_servers_after_edit(table, touched).items()):
         _check_service(table, touched, service, servers)
 
 
-def _check_unique(table: Table, touched: Touched) -> None:
+def _check_unique(table: Table, touched: TouchedRows) -> None:
     claimed: dict[tuple[Sheet, str], str] = {}
     for key, row in touched.items():
         if row is None:
             continue
-        for text in unique_texts(row.typed):
+        for text in unique_values(row.typed):
             owner = claimed.setdefault((key.sheet, text), key.name)
             if owner == key.name:
                 owner = _untouched_owner(table, touched, key, text) or key.name
             if owner != key.name:
-                raise _broken(
+                raise _rule_broken(
                     f"{key.sheet.value} row {key.name!r}: {text} "
                     f"already belongs to {owner!r}"
                 )
 
 
 def _untouched_owner(
-    table: Table, touched: Touched, key: RowKey, text: str
+    table: Table, touched: TouchedRows, key: RowKey, text: str
 ) -> str | None:
-    owner = table.owner_of(key.sheet, text)
+    owner = table.find_owner(key.sheet, text)
     if owner is None or RowKey(key.sheet, owner) in touched:
         return None
     return owner
 
 
-def _servers_after(table: Table, touched: Touched) -> ServersByService:
+def _servers_after_edit(table: Table, touched: TouchedRows) -> ServersByService:
     servers: ServersByService = {
         service: dict(table.servers_of(service))
         for service in _affected_services(table, touched)
@@ -63,7 +63,7 @@
     return servers
 
 
-def _affected_services(table: Table, touched: Touched) -> set[ServiceName]:
+def _affected_services(table: Table, touched: TouchedRows) -> set[ServiceName]:
     affected = set()
     for key, row in touched.items():
         for version in (table.get(key), row):
@@ -79,7 +79,7 @@
 
 def _check_service(
     table: Table,
-    touched: Touched,
+    touched: TouchedRows,
     name: ServiceName,
     servers: dict[ServerName, ServerRow],
 ) -> None:
@@ -87,18 +87,22 @@
     row = touched[key] if key in touched else table.get(key)
     if row is None:
         if servers:
-            raise _broken(f"servers {sorted(servers)} name no service: {name!r}")
+            raise _rule_broken(
+                f"servers {sorted(servers)} refer to a missing service: {name!r}"
+            )
         return
     service = row.typed
     capacity_slots = sum(s.slots for s in servers.values() if s.takes_work)
     if service.routes and capacity_slots == 0:
-        raise _broken(f"service {name} has routes but no server that takes work")
+        raise _rule_broken(
+            f"service {name} has routes but no server that accepts requests"
+        )
     if service.floor_slots > capacity_slots:
-        raise _broken(
-            f"service {name}: floor_slots {service.floor_slots} is more than the "
-            f"{capacity_slots} slots of its servers that take work"
+        raise _rule_broken(
+            f"service {name}: floor_slots {service.floor_slots} exceeds the "
+            f"{capacity_slots} slots of its servers that accept requests"
         )
 
 
-def _broken(detail: str) -> CinderwayError:
+def _rule_broken(detail: str) -> CinderwayError:
     return CinderwayError(ErrorCode.RULE_BROKEN, detail, step=Step.CHECK_EDIT)
--- a/src/cinderway/table/_table.py
+++ b/src/cinderway/table/_table.py
@@ -1,4 +1,4 @@
-"""The table as a replica or an entry holds it: rows, revisions, digest, deltas."""
+"""The in-memory table of a replica or an entry: rows, revisions, digest, deltas."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -17,14 +17,14 @@
 
 
 class RowKey(NamedTuple):
-    """Names a row."""
+    """Identifies a row by its sheet and name."""
 
     sheet: Sheet
     name: str
 
 
 class CellData(Message, frozen=True):
-    """A cell that was set, with the table revision that set it."""
+    """A cell that was set, with the table revision at which it was set."""
 
     column: str
     value: str
@@ -42,7 +42,7 @@
 
 
 class RemovedRow(Message, frozen=True):
-    """A row that is gone since a revision."""
+    """A removed row, with the table revision at which it was removed."""
 
     sheet: Sheet
     name: str
@@ -50,7 +50,7 @@
 
 
 class TableDelta(Message, frozen=True):
-    """What changed after `base_revision`; the whole table if that is 0.
+    """The changes after `base_revision`; the whole table if that is 0.
 
     `digest` is the digest of the whole table at `revision`.
     """
@@ -64,20 +64,20 @@
 
 @dataclass(frozen=True)
 class Row:
-    """A row with its typed form, parsed once."""
+    """A row together with its typed values, parsed once."""
 
     data: RowData
     typed: ServiceRow | ServerRow
 
     def cell_revision(self, column: str) -> int:
-        """Revision of a cell; one never set is as old as its row."""
+        """Return a cell's revision; a cell never set has its row's created revision."""
         for cell in self.data.cells:
             if cell.column == column:
                 return cell.revision
         return self.data.created_revision
 
     def cell_value(self, column: str) -> str:
-        """Text of a cell; "" if it was never set and the default holds."""
+        """Return a cell's text; "" if it was never set, so that the default applies."""
         for cell in self.data.cells:
             if cell.column == column:
                 return cell.value
@@ -85,7 +85,7 @@
 
 
 def parse_row(data: RowData) -> Row:
-    """Return a row with its typed form; raises CELL_INVALID naming the column."""
+    """Return a row with its typed values; raises CELL_INVALID, naming the column."""
     columns = COLUMNS[data.sheet]
     values = {cell.column: cell.value for cell in data.cells}
     missing = [
@@ -93,7 +93,9 @@
     ]
     unknown = [name for name in values if name not in columns]
     if missing or unknown:
-        problem = f"missing {missing}" if missing else f"unknown columns {unknown}"
+        problem = (
+            f"missing columns {missing}" if missing else f"unknown columns {unknown}"
+        )
         raise CinderwayError(
             ErrorCode.CELL_INVALID,
             f"{data.sheet.value} row {data.name!r}: {problem}",
@@ -111,10 +113,10 @@
 
 
 class Table:
-    """All rows at one revision, indexed for the checks and for routing.
+    """All rows at one revision, indexed for the rule checks and for routing.
 
-    Rows are kept in the order of their last change, so that a delta costs what
-    changed and not what there is.
+    Rows are kept in the order of their last change, so that the cost of a delta depends
+    on the number of changed rows and not on the size of the table.
     """
 
     def __init__(self):
@@ -122,7 +124,7 @@
         self.digest = 0
         self._rows: OrderedDict[RowKey, Row] = OrderedDict()
         self._removed: OrderedDict[RowKey, int] = OrderedDict()
-        self._whole_below_revision = 0
+        self._min_delta_base = 0
         self._servers_of: dict[ServiceName, dict[ServerName, ServerRow]] = {}
         self._services: dict[ServiceName, ServiceRow] = {}
         self._owners: dict[tuple[Sheet, str], str] = {}
@@ -135,41 +137,41 @@
         return self._rows.get(key)
 
     def rows(self, sheet: Sheet) -> list[Row]:
-        """Rows of a sheet by name."""
+        """Return the rows of a sheet, sorted by name."""
         found = [row for key, row in self._rows.items() if key.sheet is sheet]
         return sorted(found, key=lambda row: row.data.name)
 
     def services(self) -> list[ServiceRow]:
-        """All services, in the order of their last change."""
+        """Return all services, in the order of their last change."""
         return list(self._services.values())
 
     def service(self, name: ServiceName) -> ServiceRow | None:
-        """Return a service's rules, or None."""
+        """Return a service's row, or None."""
         row = self._rows.get(RowKey(Sheet.SERVICES, name))
         return row.typed if row else None
 
     def servers_of(self, service: ServiceName) -> dict[ServerName, ServerRow]:
-        """The backend servers of a service by name; not to be changed."""
+        """Return a service's backend servers by name; the caller must not modify it."""
         return self._servers_of.get(service, {})
 
-    def owner_of(self, sheet: Sheet, text: str) -> str | None:
-        """The row of a sheet that holds a text no two rows may hold."""
+    def find_owner(self, sheet: Sheet, text: str) -> str | None:
+        """Return the name of the row that has a unique value of a sheet, or None."""
         return self._owners.get((sheet, text))
 
     # Changes.
 
     def put(self, row: Row) -> None:
-        """Add a row or put it in place of the one with its name."""
+        """Add a row, or replace the row that has the same key."""
         key = RowKey(row.data.sheet, row.data.name)
         self._unindex(key)
         self._removed.pop(key, None)
         self._rows[key] = row
         self._rows.move_to_end(key)
-        self.digest ^= _digest_of(row.data)
+        self.digest ^= _compute_row_digest(row.data)
         self._index(row.typed)
 
     def remove(self, key: RowKey, revision: int) -> None:
-        """Take a row away, remembering since when."""
+        """Remove a row and keep a tombstone with the revision of the removal."""
         if key not in self._rows:
             return
         self._unindex(key)
@@ -178,35 +180,38 @@
         self._removed.move_to_end(key)
         while len(self._removed) > TOMBSTONE_LIMIT:
             _, oldest_revision = self._removed.popitem(last=False)
-            self._whole_below_revision = oldest_revision
+            self._min_delta_base = oldest_revision
 
     def delta_since(self, revision: int) -> TableDelta:
-        """Return what changed after a revision, or all if that is not known."""
+        """Return the changes after a revision.
+
+        The delta is the whole table if the changes since then are not known.
+        """
         base = revision
-        if revision < self._whole_below_revision or revision > self.revision:
+        if revision < self._min_delta_base or revision > self.revision:
             base = 0
         rows = [row.data for row in self._changed_after(base)]
         removed = [
-            RemovedRow(key.sheet, key.name, at)
-            for key, at in self._removed.items()
-            if at > base and base > 0
+            RemovedRow(key.sheet, key.name, removal_revision)
+            for key, removal_revision in self._removed.items()
+            if removal_revision > base and base > 0
         ]
         return TableDelta(base, self.revision, self.digest, rows[::-1], removed)
 
     def install(self, delta: TableDelta) -> bool:
-        """Move on to a delta's revision; False if it does not lead forward.
+        """Apply a delta; returns False if it is not newer or its base not reached yet.
 
-        Never goes back: an older or equal revision changes nothing. Raises
-        FRAME_INVALID if the result's digest is not the delta's; this table is then
-        no longer to be used.
+        Never goes back: a delta to an older or equal revision changes nothing. Raises
+        FRAME_INVALID if the resulting digest differs from the delta's; this table must
+        not be used any more after that.
         """
         if delta.revision <= self.revision or delta.base_revision > self.revision:
             return False
         if delta.base_revision == 0:
             self._clear()
-            # What was removed before is not known here, so whoever is behind this
-            # revision needs the whole table too.
-            self._whole_below_revision = delta.revision
+            # A whole table does not say which rows were removed earlier, so a follower
+            # behind this revision needs the whole table from here too.
+            self._min_delta_base = delta.revision
         for removed in delta.removed:
             self.remove(RowKey(removed.sheet, removed.name), removed.revision)
         for row_data in delta.rows:
@@ -216,7 +221,7 @@
             raise CinderwayError(
                 ErrorCode.FRAME_INVALID,
                 f"the table at revision {delta.revision} has digest {self.digest:x}, "
-                f"announced was {delta.digest:x}",
+                f"expected {delta.digest:x}",
                 step=Step.RECEIVE,
             )
         return True
@@ -234,7 +239,7 @@
 
     def _index(self, typed: ServiceRow | ServerRow) -> None:
         sheet = Sheet.SERVICES if isinstance(typed, ServiceRow) else Sheet.SERVERS
-        for text in unique_texts(typed):
+        for text in unique_values(typed):
             self._owners[sheet, text] = typed.name
         match typed:
             case ServiceRow():
@@ -246,9 +251,9 @@
         row = self._rows.get(key)
         if row is None:
             return
-        self.digest ^= _digest_of(row.data)
-        for text in unique_texts(row.typed):
-            # Another row may hold it by now, if one edit moved it there.
+        self.digest ^= _compute_row_digest(row.data)
+        for text in unique_values(row.typed):
+            # If one edit moved the value to another row, that row may already own it.
             if self._owners.get((key.sheet, text)) == key.name:
                 del self._owners[key.sheet, text]
         match row.typed:
@@ -258,8 +263,8 @@
                 self._servers_of[service].pop(key.name, None)
 
 
-def unique_texts(typed: ServiceRow | ServerRow) -> frozenset[str]:
-    """Texts of a row that no other row of its sheet may hold."""
+def unique_values(typed: ServiceRow | ServerRow) -> frozenset[str]:
+    """Return the values of a row that no other row of its sheet may have."""
     match typed:
         case ServiceRow(routes=routes):
             return routes
@@ -267,7 +272,7 @@
             return frozenset({address})
 
 
-def _digest_of(data: RowData) -> int:
+def _compute_row_digest(data: RowData) -> int:
     parts = [data.sheet.value, data.name, str(data.created_revision)]
     for cell in sorted(data.cells, key=lambda cell: cell.column):
         parts += [cell.column, cell.value, str(cell.revision)]
--- a/tests/table/test_csv.py
+++ b/tests/table/test_csv.py
@@ -36,7 +36,7 @@
             text = export_csv(machine.table, sheet)
             self.assertEqual(changes_from_csv(machine.table, sheet, text), [])
 
-    def test_left_out_row_is_removed_and_changed_cell_is_set(self):
+    def test_missing_row_is_removed_and_changed_cell_is_set(self):
         machine = TableMachine()
         two = SERVERS.format(50) + "s2,lookup,suva,127.0.0.1:81,70\n"
         import_all(machine, SERVICES, two)
@@ -58,11 +58,11 @@
             changes_from_csv(Table(), Sheet.SERVERS, "name,color\n")
         self.assertIn("line 1", caught.exception.detail)
 
-    def test_row_that_stands_twice_is_refused(self):
+    def test_row_that_appears_twice_is_refused(self):
         text = SERVERS.format(1) + SERVERS.format(1).splitlines()[1] + "\n"
         with self.assertRaises(CinderwayError) as caught:
             changes_from_csv(Table(), Sheet.SERVERS, text)
-        self.assertIn("line 3: name: 's1' stands twice", caught.exception.detail)
+        self.assertIn("line 3: name: 's1' appears twice", caught.exception.detail)
 
 
 class ColumnTest(unittest.TestCase):
--- a/tests/table/test_machine.py
+++ b/tests/table/test_machine.py
@@ -1,4 +1,4 @@
-"""Edits: all or nothing, at most once, the same answer to the same id."""
+"""Edits are atomic, take effect at most once, and a resend gets the same answer."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 ]
 
 
-def server(name, port, slots="4"):
+def server_changes(name, port, slots="4"):
     cells = {
         "service": "lookup",
         "data_hall": "suva",
@@ -37,17 +37,17 @@
     ]
 
 
-def edit(edit_id, *changes, seen=0):
-    return Edit(edit_id, "op", seen, list(changes))
+def edit(edit_id, *changes, seen_sequence=0):
+    return Edit(edit_id, "op", seen_sequence, list(changes))
 
 
-def weight(value, seen_revision, row="s1"):
+def set_weight(value, seen_revision, row="s1"):
     return Change(Action.SET, Sheet.SERVERS, row, "weight", value, seen_revision)
 
 
-def filled(**limits):
+def build_machine(**limits):
     machine = TableMachine(**limits)
-    changes = [*SERVICE, *server("s1", 1), *server("s2", 2)]
+    changes = [*SERVICE, *server_changes("s1", 1), *server_changes("s2", 2)]
     assert machine.apply_edit(edit("first", *changes)).verdict is Verdict.ACCEPTED
     return machine
 
@@ -57,50 +57,56 @@
         self.assertIs(answer.verdict, Verdict.REFUSED)
         self.assertEqual(answer.code, code.value)
 
-    def test_of_two_edits_with_equal_revisions_one_is_refused_with_the_winner(self):
-        machine = filled()
-        won = machine.apply_edit(edit("a", weight("50", 1)))
-        lost = machine.apply_edit(edit("b", weight("60", 1)))
+    def test_second_edit_of_a_cell_at_one_revision_is_refused_with_the_winner(self):
+        machine = build_machine()
+        won = machine.apply_edit(edit("a", set_weight("50", 1)))
+        lost = machine.apply_edit(edit("b", set_weight("60", 1)))
         self.assertIs(won.verdict, Verdict.ACCEPTED)
         self.assert_refused(lost, ErrorCode.REVISION_CONFLICT)
         self.assertEqual((lost.winner_value, lost.revision), ("50", won.revision))
 
     def test_resent_edit_gets_the_same_answer_and_is_applied_once(self):
-        machine = filled()
-        first = machine.apply_edit(edit("a", weight("50", 1)))
-        again = machine.apply_edit(edit("a", weight("50", 1)))
+        machine = build_machine()
+        first = machine.apply_edit(edit("a", set_weight("50", 1)))
+        again = machine.apply_edit(edit("a", set_weight("50", 1)))
         self.assertEqual(first, again)
         self.assertEqual(machine.table.revision, 2)
 
     def test_refused_edit_stays_refused_when_resent(self):
-        machine = filled()
-        machine.apply_edit(edit("a", weight("50", 1)))
-        first = machine.apply_edit(edit("b", weight("60", 1)))
-        self.assertEqual(machine.apply_edit(edit("b", weight("60", 1))), first)
+        machine = build_machine()
+        machine.apply_edit(edit("a", set_weight("50", 1)))
+        first = machine.apply_edit(edit("b", set_weight("60", 1)))
+        self.assertEqual(machine.apply_edit(edit("b", set_weight("60", 1))), first)
 
     def test_used_id_with_other_content_is_refused(self):
-        machine = filled()
-        machine.apply_edit(edit("a", weight("50", 1)))
-        answer = machine.apply_edit(edit("a", weight("60", 2)))
+        machine = build_machine()
+        machine.apply_edit(edit("a", set_weight("50", 1)))
+        answer = machine.apply_edit(edit("a", set_weight("60", 2)))
         self.assert_refused(answer, ErrorCode.EDIT_ID_REUSED)
 
     def test_resend_past_the_window_is_refused_and_not_applied_twice(self):
-        machine = filled(remembered_limit=3)
-        old = edit("old", weight("50", 1), seen=1)
+        machine = build_machine(remembered_limit=3)
+        old = edit("old", set_weight("50", 1), seen_sequence=1)
         machine.apply_edit(old)
         for number in range(5):
             revision = machine.table.revision
             machine.apply_edit(
-                edit(f"n{number}", weight("70", revision), seen=machine.sequence)
+                edit(
+                    f"n{number}",
+                    set_weight("70", revision),
+                    seen_sequence=machine.sequence,
+                )
             )
         revision = machine.table.revision
         self.assert_refused(machine.apply_edit(old), ErrorCode.EDIT_TOO_OLD)
         self.assertEqual(machine.table.revision, revision)
 
     def test_edit_of_several_cells_is_all_or_nothing(self):
-        machine = filled()
+        machine = build_machine()
         before = machine.snapshot()
-        answer = machine.apply_edit(edit("a", weight("50", 1), weight("9999", 1, "s2")))
+        answer = machine.apply_edit(
+            edit("a", set_weight("50", 1), set_weight("9999", 1, "s2"))
+        )
         self.assert_refused(answer, ErrorCode.CELL_INVALID)
         row = machine.table.get(RowKey(Sheet.SERVERS, "s1"))
         self.assertEqual(row.typed.weight, 100)
@@ -108,48 +114,48 @@
 
     def test_floor_above_capacity_is_refused(self):
         change = Change(Action.SET, Sheet.SERVICES, "lookup", "floor_slots", "9", 1)
-        answer = filled().apply_edit(edit("a", change))
+        answer = build_machine().apply_edit(edit("a", change))
         self.assert_refused(answer, ErrorCode.RULE_BROKEN)
 
     def test_service_left_without_a_server_is_refused(self):
-        changes = [weight("0", 1), weight("0", 1, "s2")]
-        answer = filled().apply_edit(edit("a", *changes))
+        changes = [set_weight("0", 1), set_weight("0", 1, "s2")]
+        answer = build_machine().apply_edit(edit("a", *changes))
         self.assert_refused(answer, ErrorCode.RULE_BROKEN)
 
     def test_server_without_its_service_is_refused(self):
         change = Change(Action.SET, Sheet.SERVERS, "s1", "service", "payouts", 1)
-        answer = filled().apply_edit(edit("a", change))
+        answer = build_machine().apply_edit(edit("a", change))
         self.assert_refused(answer, ErrorCode.RULE_BROKEN)
 
     def test_address_of_another_server_is_refused(self):
-        answer = filled().apply_edit(edit("a", *server("s3", 2)))
+        answer = build_machine().apply_edit(edit("a", *server_changes("s3", 2)))
         self.assert_refused(answer, ErrorCode.RULE_BROKEN)
 
     def test_two_new_servers_with_one_address_are_refused(self):
-        changes = [*server("s3", 3), *server("s4", 3)]
+        changes = [*server_changes("s3", 3), *server_changes("s4", 3)]
         self.assert_refused(
-            filled().apply_edit(edit("a", *changes)), ErrorCode.RULE_BROKEN
+            build_machine().apply_edit(edit("a", *changes)), ErrorCode.RULE_BROKEN
         )
 
     def test_unknown_column_is_refused(self):
         change = Change(Action.SET, Sheet.SERVERS, "s1", "color", "red", 1)
         self.assert_refused(
-            filled().apply_edit(edit("a", change)), ErrorCode.CELL_INVALID
+            build_machine().apply_edit(edit("a", change)), ErrorCode.CELL_INVALID
         )
 
-    def test_cell_of_a_row_removed_and_made_again_is_not_taken_for_the_old_one(self):
-        machine = filled()
+    def test_edit_of_a_cell_seen_before_its_row_was_recreated_is_refused(self):
+        machine = build_machine()
         machine.apply_edit(
             edit("a", Change(Action.REMOVE, Sheet.SERVERS, "s2", seen_revision=1))
         )
-        machine.apply_edit(edit("b", *server("s2", 2)))
-        answer = machine.apply_edit(edit("c", weight("50", 1, "s2")))
+        machine.apply_edit(edit("b", *server_changes("s2", 2)))
+        answer = machine.apply_edit(edit("c", set_weight("50", 1, "s2")))
         self.assert_refused(answer, ErrorCode.REVISION_CONFLICT)
 
-    def test_founded_anew_it_goes_on_above_the_given_revision(self):
+    def test_new_table_continues_above_the_given_revision(self):
         machine = TableMachine()
         machine.restore(founding_state(41))
-        answer = machine.apply_edit(edit("a", *SERVICE, *server("s1", 1)))
+        answer = machine.apply_edit(edit("a", *SERVICE, *server_changes("s1", 1)))
         self.assertEqual(answer.revision, 42)
 
 
@@ -164,38 +170,39 @@
 )
 
 
-def edits_from(drawn):
-    for number, (name, what, seen, value) in enumerate(drawn):
-        match what:
+def build_edits(drawn):
+    for number, (name, kind, seen, value) in enumerate(drawn):
+        match kind:
             case "set":
-                changes = [weight(str(value), seen, name)]
+                changes = [set_weight(str(value), seen, name)]
             case "remove":
                 change = Change(Action.REMOVE, Sheet.SERVERS, name, seen_revision=seen)
                 changes = [change]
             case "create":
-                changes = server(name, int(name[1]))
+                changes = server_changes(name, int(name[1]))
         yield edit(f"e{number % 9}", *changes)
 
 
 class MachineTest(unittest.TestCase):
     @given(EDITS, st.integers(0, 25))
     def test_restart_from_a_snapshot_gives_the_same_answers(self, drawn, restart_at):
-        straight, restarted = filled(remembered_limit=5), filled(remembered_limit=5)
-        for number, one in enumerate(edits_from(drawn)):
+        uninterrupted, restarted = (
+            build_machine(remembered_limit=5),
+            build_machine(remembered_limit=5),
+        )
+        for number, one in enumerate(build_edits(drawn)):
             if number == restart_at:
                 snapshot = restarted.snapshot()
                 restarted = TableMachine(remembered_limit=5)
                 restarted.restore(snapshot)
-            self.assertEqual(straight.apply_edit(one), restarted.apply_edit(one))
-        self.assertEqual(straight.table.digest, restarted.table.digest)
+            self.assertEqual(uninterrupted.apply_edit(one), restarted.apply_edit(one))
+        self.assertEqual(uninterrupted.table.digest, restarted.table.digest)
 
     @given(EDITS, st.data())
-    def test_followers_by_deltas_hold_the_same_table_and_never_go_back(
-        self, drawn, data
-    ):
-        machine, follower, peer = filled(), Table(), Table()
+    def test_followers_that_apply_deltas_converge_and_never_go_back(self, drawn, data):
+        machine, follower, peer = build_machine(), Table(), Table()
         old = [machine.table.delta_since(0)]
-        for one in edits_from(drawn):
+        for one in build_edits(drawn):
             machine.apply_edit(one)
             source = data.draw(st.sampled_from([machine.table, follower]))
             target = data.draw(st.sampled_from([follower, peer]))
