--- a/src/cinderway/replication/__init__.py
+++ b/src/cinderway/replication/__init__.py
@@ -1,4 +1,4 @@
-"""A replicated state machine: Raft, its log on disk, and the process around it."""
+"""A replicated state machine: the Raft protocol, its durable log, and its driver."""
 
 from cinderway.replication._core import Replica, Role, Timing
 from cinderway.replication._messages import Membership
--- a/src/cinderway/replication/_core.py
+++ b/src/cinderway/replication/_core.py
@@ -1,17 +1,19 @@
-"""Raft without I/O: messages, time and randomness in; messages and records out.
+"""The Raft protocol without I/O.
+
+Its inputs are messages, time and randomness; its outputs are messages and records.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014): chapter 3 (the
 algorithm), 4 (single-server membership changes, leader stickiness), 5 (snapshots),
-6.4 (reads that are not stale) and 9.6 (pre-vote).
+6.4 (linearizable reads) and 9.6 (pre-vote).
 
 Each input changes the replica's state in memory only. The driver then takes the
 output, makes its records durable, sends its messages, and applies its committed
-entries, in this order; a message that promises something is thus never sent before
-the promise would survive a crash.
+entries, in this order. A message that depends on a record, such as a granted vote or
+an acknowledged entry, is thus never sent before that record would survive a crash.
 
-What each part of the protocol does is in a module of its own: `_elections`,
-`_leader_log`, `_follower_log`, `_member_changes`, `_reads`, `_handover`; what they
-share is in `_state`.
+Each part of the protocol has a module of its own: `_elections`, `_leader_log`,
+`_follower_log`, `_member_changes`, `_reads` (linearizable reads) and `_handover`
+(leadership transfer). The state that they share is in `_state`.
 """
 
 import random
@@ -19,7 +21,7 @@
 from cinderway._ids import NO_REPLICA, Address, ReplicaId
 from cinderway.replication._elections import Elections
 from cinderway.replication._follower_log import FollowerLog
-from cinderway.replication._handover import Handover
+from cinderway.replication._handover import LeadershipTransfer
 from cinderway.replication._leader_log import LeaderLog
 from cinderway.replication._log import Log
 from cinderway.replication._member_changes import MemberChanges
@@ -37,7 +39,7 @@
     VoteRequest,
 )
 from cinderway.replication._output import ConfirmedRead, Output
-from cinderway.replication._reads import Reads
+from cinderway.replication._reads import LinearizableReads
 from cinderway.replication._state import ReplicaState, Role, Timing
 
 __all__ = ["ConfirmedRead", "Output", "Replica", "Role", "Timing"]
@@ -46,10 +48,10 @@
 class Replica(ReplicaState):
     """One member of a replicated group.
 
-    Guarantees, while the driver keeps the order above: at most one leader a term;
-    an entry handed out as committed is in every later leader's log at the same
-    index; a read is confirmed only if no other leader could have committed
-    anything newer when it was asked.
+    Guarantees, provided that the driver keeps the order above: there is at most one
+    leader per term; an entry returned as committed is in every later leader's log at
+    the same index; a read is confirmed only if no other leader could have committed
+    anything newer when it was requested.
     """
 
     def __init__(
@@ -65,111 +67,115 @@
     ):
         super().__init__(replica_id, address, log, hard_state, timing, now_ms)
         self._wanted_voters = wanted_voters
-        self._reads = Reads(self)
-        self._handover = Handover(self)
+        self._reads = LinearizableReads(self)
+        self._transfer = LeadershipTransfer(self)
         self._leader_log = LeaderLog(
-            self, self._reads, self._handover, self._become_follower
+            self, self._reads, self._transfer, self._become_follower
         )
-        self._changes = MemberChanges(self, self._leader_log)
+        self._member_changes = MemberChanges(self, self._leader_log)
         self._elections = Elections(
             self, rng, self._become_follower, self._become_leader
         )
-        self._follower_log = FollowerLog(self, self._elections.hear_leader)
+        self._follower_log = FollowerLog(self, self._elections.follow_leader)
 
     def tick(self, now_ms: int) -> None:
-        """Let time pass."""
-        self._advance(now_ms)
+        """Advance the clock and do whatever has become due."""
+        self._advance_clock(now_ms)
         if self.is_leader:
             self._tick_leader()
         else:
             self._elections.tick()
 
     def step(self, message: ReplicaMessage, now_ms: int) -> None:
-        """Take one message. Messages for another identity are dropped.
+        """Process one received message; drop it if it is for another replica id.
 
         The target is checked because a replica that lost its disk comes back at
-        the same address under a new identity; what others still send to the old
-        one must not be answered by the new one.
+        the same address under a new id, and must not answer messages that others
+        still send to the old one.
         """
-        self._advance(now_ms)
+        self._advance_clock(now_ms)
         if isinstance(message, JoinRequest):
-            self._changes.on_join(message, self._wanted_voters)
+            self._member_changes.receive_join_request(message, self._wanted_voters)
             return
         if message.target != self.replica_id:
             return
         match message:
             case VoteRequest():
-                self._elections.on_vote_request(message)
+                self._elections.receive_vote_request(message)
             case VoteReply():
-                self._elections.on_vote_reply(message)
+                self._elections.receive_vote_reply(message)
             case AppendRequest():
-                self._follower_log.on_append_request(message)
+                self._follower_log.receive_append_request(message)
             case AppendReply():
-                self._leader_log.on_append_reply(message)
+                self._leader_log.receive_append_reply(message)
             case SnapshotRequest():
-                self._follower_log.on_snapshot_request(message)
+                self._follower_log.receive_snapshot_request(message)
             case TakeOver():
-                self._elections.on_take_over(message)
+                self._elections.receive_take_over(message)
+
+    def is_leader_at(self, now_ms: int) -> bool:
+        """Whether this replica leads and was not suspended past `quorum_silent_ms`.
 
-    def leads_at(self, now_ms: int) -> bool:
-        """Whether it leads and has not stood still for as long as others wait."""
-        return self.is_leader and not self._stood_still(now_ms)
+        After such a pause the others may have elected another leader.
+        """
+        return self.is_leader and not self._has_stalled(now_ms)
 
-    def _stood_still(self, now_ms: int) -> bool:
+    def _has_stalled(self, now_ms: int) -> bool:
         return now_ms - self.now_ms > self.timing.quorum_silent_ms
 
-    def _advance(self, now_ms: int) -> None:
-        """Take the time; a leader that stood still leads no longer.
+    def _advance_clock(self, now_ms: int) -> None:
+        """Advance the clock; a leader that was suspended for too long steps down.
 
-        What lies in its connections is from before: taken for news, it would make the
-        leader think that its quorum still follows.
+        The messages that wait in its connections were sent before or during the
+        pause. If it counted them as recent contact, it would believe that its quorum
+        still follows it.
         """
         has_others = len(self.membership.voters) > 1
-        if self.is_leader and has_others and self._stood_still(now_ms):
+        if self.is_leader and has_others and self._has_stalled(now_ms):
             self._become_follower(self.term)
         self.now_ms = max(now_ms, self.now_ms)
 
     def propose(self, data: bytes) -> int:
-        """Append a command and return its index; only the leader takes one."""
+        """Append a command and return its index; only the leader accepts one."""
         self.require_leader()
-        if self._handover.is_under_way:
-            raise self.not_leader("the leader is handing over")
+        if self._transfer.is_in_progress:
+            raise self.not_leader_error("the leader is transferring its leadership")
         index = self.append_own(EntryKind.COMMAND, data)
         self._leader_log.is_broadcast_due = True
         return index
 
-    def read(self, read_id: int) -> None:
-        """Ask to confirm that this replica still leads, for a current read."""
-        self._reads.ask(read_id)
+    def request_read(self, read_id: int) -> None:
+        """Request a linearizable read: confirm that this replica still leads."""
+        self._reads.request(read_id)
         self._leader_log.is_broadcast_due = True
 
     def remove_member(self, replica_id: ReplicaId) -> None:
-        """Take a replica out of the group, on an operator's word."""
-        self._changes.remove(replica_id)
+        """Remove a replica from the group, as requested by an operator."""
+        self._member_changes.remove(replica_id)
 
     def transfer_leadership(self) -> None:
-        """Hand over to the follower that is furthest along, before a stop."""
-        self._handover.start()
+        """Transfer leadership to the most up-to-date follower, before shutting down."""
+        self._transfer.start()
 
-    def persisted(self, index: int, term: int) -> None:
-        """The driver's word that the log is durable up to an entry.
+    def record_persisted(self, index: int, term: int) -> None:
+        """Record that the driver has made the log durable up to an entry.
 
-        The term tells whether the entry is still the one that was written: it may
+        The term shows whether the entry is still the one that was written: it may
         have been overwritten in memory while the disk was busy.
         """
         if self.log.term_at(index) != term:
             return
         self.persisted_index = max(self.persisted_index, index)
         if self.is_leader:
-            self._leader_log.note_persisted()
+            self._leader_log.update_own_match_index()
 
     def compact(self, snapshot: Snapshot) -> None:
-        """The driver's word that a snapshot of applied state is durable."""
+        """Discard the entries that a snapshot covers, now that it is durable."""
         self.log.compact(snapshot)
 
     def take_output(self) -> Output:
-        """Return what is to be done since the last call."""
-        # Proposals and reads that came in together share one round of messages.
+        """Return the work for the driver that has accumulated since the last call."""
+        # Proposals and reads that arrived together share one round of messages.
         if self._leader_log.is_broadcast_due and self.is_leader:
             self._leader_log.broadcast()
         output, self.output = self.output, Output()
@@ -178,24 +184,24 @@
 
     def _tick_leader(self) -> None:
         if self.replica_id not in self.membership.members:
-            # Its own removal must still be committed, by this very leader.
+            # A leader that is being removed leads until its removal is committed.
             if self.log.membership_index <= self.commit_index:
                 self._become_follower(self.term)
             return
-        if not self._leader_log.hears_quorum():
+        if not self._leader_log.has_quorum_contact():
             self._become_follower(self.term)
             return
-        self._handover.abandon_if_late()
+        self._transfer.abandon_if_expired()
         self._leader_log.send_heartbeat()
-        self._changes.advance(self._wanted_voters)
+        self._member_changes.advance(self._wanted_voters)
 
     def _become_follower(self, term: int) -> None:
         self.role = Role.FOLLOWER
         self.leader_id = NO_REPLICA
         self.progress = {}
         self._reads.drop()
-        self._changes.forget_joining()
-        self._handover.abandon()
+        self._member_changes.clear_joining()
+        self._transfer.abandon()
         if term > self.term:
             self.set_hard_state(HardState(term, NO_REPLICA))
         self._elections.reset_deadline()
@@ -203,5 +209,5 @@
     def _become_leader(self) -> None:
         self.role = Role.LEADER
         self.leader_id = self.replica_id
-        self._handover.abandon()
+        self._transfer.abandon()
         self._leader_log.start()
--- a/src/cinderway/replication/_elections.py
+++ b/src/cinderway/replication/_elections.py
@@ -1,7 +1,8 @@
-"""Elections: when to stand, whom to vote for, whether a leader is heard.
+"""Leader elections: election timeouts, votes, and contact with the current leader.
 
-With a pre-vote (Ongaro, section 9.6): a replica first asks whether it would win, so
-that one which was cut off does not disturb a group that has a leader.
+Elections use a pre-vote (Ongaro, section 9.6): a replica first asks whether it would
+win, so that a replica which was partitioned away does not disrupt a group that has a
+leader.
 """
 
 import random
@@ -17,12 +18,13 @@
 from cinderway.replication._progress import is_quorum
 from cinderway.replication._state import ReplicaState, Role
 
-# From a tenth of a second to over a minute: beyond any election timeout.
-START_DOUBLINGS = 10
+# Ten doublings take a timeout of a tenth of a second to over a minute, which is beyond
+# any election timeout.
+MAX_STARTUP_DOUBLINGS = 10
 
 
 class Elections:
-    """One replica's part in electing a leader."""
+    """Runs elections and grants votes on behalf of one replica."""
 
     def __init__(
         self,
@@ -36,35 +38,37 @@
         self._become_follower = become_follower
         self._become_leader = become_leader
         self._votes: set[ReplicaId] = set()
-        # Times it stood in vain since its start.
-        self._failed_starts = 0
+        # Counts expired election timeouts; it only matters until a leader is heard.
+        self._failed_startup_elections = 0
         self.reset_deadline()
 
     def tick(self) -> None:
-        """Stand for election once no leader was heard for a whole timeout."""
+        """Start a pre-vote if no leader was heard for a whole election timeout."""
         state = self._state
         if state.now_ms < self._deadline_ms:
             return
-        self._failed_starts = min(self._failed_starts + 1, START_DOUBLINGS)
+        self._failed_startup_elections = min(
+            self._failed_startup_elections + 1, MAX_STARTUP_DOUBLINGS
+        )
         self.reset_deadline()
         if state.replica_id in state.membership.voters:
             self._start_pre_vote()
 
     def reset_deadline(self) -> None:
-        """Wait a new random timeout before standing for election."""
+        """Restart the election timer with a new random timeout."""
         state, timing = self._state, self._state.timing
         shortest_ms, longest_ms = timing.election_min_ms, timing.election_max_ms
         if state.leader_heard_at_ms is None and not state.is_leader:
-            # Doubled from the third time on: where messages take long, votes must not
-            # come too late again and again.
-            factor = 2 ** max(self._failed_starts - 1, 0)
+            # The timeout doubles from the third attempt on: where messages are slow,
+            # a constant short timeout could expire before the votes arrive each time.
+            factor = 2 ** max(self._failed_startup_elections - 1, 0)
             shortest_ms = min(timing.startup_min_ms * factor, shortest_ms)
             longest_ms = min(timing.startup_max_ms * factor, longest_ms)
         timeout_ms = self._rng.randint(shortest_ms, longest_ms)
         self._deadline_ms = state.now_ms + timeout_ms
 
-    def hear_leader(self, leader_id: ReplicaId, term: int) -> None:
-        """Follow a leader whose message has just come."""
+    def follow_leader(self, leader_id: ReplicaId, term: int) -> None:
+        """Follow the leader that has just sent a message, and restart the timer."""
         state = self._state
         if term > state.term or state.role is not Role.FOLLOWER:
             self._become_follower(term)
@@ -116,26 +120,27 @@
         elif state.role is Role.CANDIDATE:
             self._become_leader()
 
-    def on_vote_request(self, request: VoteRequest) -> None:
-        """Vote, or say why not, for a replica that wants to lead."""
+    def receive_vote_request(self, request: VoteRequest) -> None:
+        """Decide on a candidate's request for a vote or pre-vote, and reply."""
         state = self._state
-        # A replica that hears a leader neither votes nor takes the higher term:
-        # otherwise one replica behind a one-way cut could unseat a good leader.
-        if self._hears_leader() and not request.is_transfer:
+        # A replica in contact with a leader neither votes nor adopts the higher term:
+        # otherwise one replica behind a one-way partition could depose a working
+        # leader.
+        if self._has_leader_contact() and not request.is_transfer:
             self._reply_vote(request, is_granted=False)
             return
         if request.term > state.term and not request.is_pre_vote:
             self._become_follower(request.term)
-        is_granted = self._would_vote_for(request)
+        is_granted = self._can_vote_for(request)
         if is_granted and not request.is_pre_vote:
             state.set_hard_state(HardState(state.term, request.sender))
             self.reset_deadline()
         self._reply_vote(request, is_granted=is_granted)
 
-    def _would_vote_for(self, request: VoteRequest) -> bool:
+    def _can_vote_for(self, request: VoteRequest) -> bool:
         state = self._state
-        own_end = (state.log.last_term, state.log.last_index)
-        if (request.last_term, request.last_index) < own_end:
+        own_last = (state.log.last_term, state.log.last_index)
+        if (request.last_term, request.last_index) < own_last:
             return False
         if request.is_pre_vote:
             return request.term > state.term
@@ -153,10 +158,10 @@
             is_granted=is_granted,
             is_pre_vote=request.is_pre_vote,
         )
-        state.answer(request.sender_address, reply)
+        state.send_to_address(request.sender_address, reply)
 
-    def on_vote_reply(self, reply: VoteReply) -> None:
-        """Count a vote for this replica."""
+    def receive_vote_reply(self, reply: VoteReply) -> None:
+        """Count a vote for this replica, or step down if the reply has a newer term."""
         state = self._state
         if not reply.is_granted:
             if reply.term > state.term:
@@ -168,14 +173,17 @@
             self._votes.add(reply.sender)
             self._count_votes()
 
-    def on_take_over(self, message: TakeOver) -> None:
-        """Stand for election at once: the leader hands over."""
+    def receive_take_over(self, message: TakeOver) -> None:
+        """Start an election at once, because the leader transfers its leadership here.
+
+        This message is called TimeoutNow in Ongaro's text (section 3.10).
+        """
         state = self._state
         is_voter = state.replica_id in state.membership.voters
         if message.term == state.term and is_voter:
             self._start_election(is_transfer=True)
 
-    def _hears_leader(self) -> bool:
+    def _has_leader_contact(self) -> bool:
         state = self._state
         if state.is_leader:
             return True
--- a/src/cinderway/replication/_follower_log.py
+++ b/src/cinderway/replication/_follower_log.py
@@ -1,4 +1,4 @@
-"""The follower's side of the log: take over the leader's, say how far it matches."""
+"""The follower's side of log replication: append entries, report the matching index."""
 
 from collections.abc import Callable
 
@@ -14,51 +14,53 @@
 
 
 class FollowerLog:
-    """What a replica does with a leader's log."""
+    """Brings the own log into agreement with the leader's."""
 
     def __init__(
-        self, state: ReplicaState, hear_leader: Callable[[ReplicaId, int], None]
+        self, state: ReplicaState, follow_leader: Callable[[ReplicaId, int], None]
     ):
         self._state = state
-        self._hear_leader = hear_leader
+        self._follow_leader = follow_leader
 
-    def on_append_request(self, request: AppendRequest) -> None:
-        """Take over a leader's entries that follow on what is held here."""
+    def receive_append_request(self, request: AppendRequest) -> None:
+        """Append a leader's entries if the log matches up to the entry before them."""
         state = self._state
         if request.term < state.term:
             self._reply_append(request, is_match=False, match_index=0)
             return
-        self._hear_leader(request.sender, request.term)
-        if not self._matches(request.previous_index, request.previous_term):
+        self._follow_leader(request.sender, request.term)
+        if not self._has_matching_entry(request.previous_index, request.previous_term):
             hint = self._match_hint(request.previous_index)
             self._reply_append(request, is_match=False, match_index=hint)
             return
-        unknown = self._unknown_entries(request.entries)
-        if unknown and unknown[0].index <= state.commit_index:
+        missing = self._missing_entries(request.entries)
+        if missing and missing[0].index <= state.commit_index:
             raise CinderwayError(
                 ErrorCode.DATA_DAMAGED,
-                f"a leader wants to overwrite committed entry {unknown[0].index}",
+                f"the leader tried to overwrite committed entry {missing[0].index}",
                 step=Step.RECEIVE,
                 peer=str(request.sender),
             )
-        state.append(unknown)
+        state.append(missing)
         match_index = request.previous_index + len(request.entries)
         state.commit_index = max(
             state.commit_index, min(request.commit_index, match_index)
         )
-        self._note_commit(request)
+        self._record_leader_commit(request)
         self._reply_append(request, is_match=True, match_index=match_index)
 
-    def _note_commit(self, request: AppendRequest) -> None:
+    def _record_leader_commit(self, request: AppendRequest) -> None:
         state = self._state
-        # The leader's own commit index says all only once it has committed in its term.
+        # A new leader's commit index may lag behind what earlier leaders committed.
+        # It is complete only once the leader has committed an entry of its own term.
         has_all = state.commit_index >= request.commit_index
         if has_all and state.log.term_at(request.commit_index) == request.term:
-            state.note_told(request.commit_index)
+            state.record_leader_commit(request.commit_index)
 
-    def _matches(self, index: int, term: int) -> bool:
+    def _has_matching_entry(self, index: int, term: int) -> bool:
         state = self._state
-        # What a snapshot covers is committed, hence the same in every leader's log.
+        # Entries covered by a snapshot are committed, hence the same in every
+        # leader's log.
         return index < state.log.snapshot.index or state.log.term_at(index) == term
 
     def _match_hint(self, previous_index: int) -> int:
@@ -73,7 +75,7 @@
             index -= 1
         return index
 
-    def _unknown_entries(self, entries: list[Entry]) -> list[Entry]:
+    def _missing_entries(self, entries: list[Entry]) -> list[Entry]:
         state = self._state
         for position, entry in enumerate(entries):
             if entry.index <= state.log.snapshot.index:
@@ -94,14 +96,14 @@
             match_index=match_index,
             round=request.round,
         )
-        state.answer(request.sender_address, reply)
+        state.send_to_address(request.sender_address, reply)
 
-    def on_snapshot_request(self, request: SnapshotRequest) -> None:
-        """Take over a leader's snapshot, if it goes further than what is held."""
+    def receive_snapshot_request(self, request: SnapshotRequest) -> None:
+        """Install a leader's snapshot if it is ahead of the own commit index."""
         state = self._state
         if request.term < state.term:
             return
-        self._hear_leader(request.sender, request.term)
+        self._follow_leader(request.sender, request.term)
         snapshot = request.snapshot
         if snapshot.index > state.commit_index:
             state.install(snapshot)
@@ -113,4 +115,4 @@
             match_index=min(snapshot.index, state.commit_index),
             round=0,
         )
-        state.answer(request.sender_address, reply)
+        state.send_to_address(request.sender_address, reply)
--- a/src/cinderway/replication/_handover.py
+++ b/src/cinderway/replication/_handover.py
@@ -1,12 +1,12 @@
-"""A leader's handing over to a follower, before it stops."""
+"""Leadership transfer to a follower, before the leader shuts down."""
 
 from cinderway._ids import NO_REPLICA
 from cinderway.replication._messages import TakeOver
 from cinderway.replication._state import ReplicaState
 
 
-class Handover:
-    """Bring one follower up to date, then tell it to take over."""
+class LeadershipTransfer:
+    """Waits until one follower is up to date, then tells it to start an election."""
 
     def __init__(self, state: ReplicaState):
         self._state = state
@@ -14,12 +14,12 @@
         self._deadline_ms = state.now_ms
 
     @property
-    def is_under_way(self) -> bool:
-        """Whether the leader must take nothing new meanwhile."""
+    def is_in_progress(self) -> bool:
+        """Whether a transfer is running, during which new commands are rejected."""
         return self._target != NO_REPLICA
 
     def start(self) -> None:
-        """Hand over to the follower that is furthest along, if one is heard."""
+        """Choose the most up-to-date reachable voter and start a transfer to it."""
         state = self._state
         if not state.is_leader:
             return
@@ -34,10 +34,10 @@
         self.advance()
 
     def advance(self) -> None:
-        """Tell the target to take over once it holds all entries."""
+        """Tell the target to start an election once it holds all entries."""
         state, target = self._state, self._target
         if not state.is_leader or target not in state.progress:
-            # The target may have left the group meanwhile.
+            # The target may have been removed from the group meanwhile.
             self.abandon()
             return
         if state.progress[target].match_index == state.log.last_index:
@@ -45,11 +45,11 @@
                 TakeOver(sender=state.replica_id, target=target, term=state.term)
             )
 
-    def abandon_if_late(self) -> None:
-        """Go on leading if the target has not taken over in time."""
+    def abandon_if_expired(self) -> None:
+        """Give up the transfer if the target has not taken over by the deadline."""
         if self._state.now_ms >= self._deadline_ms:
             self.abandon()
 
     def abandon(self) -> None:
-        """Hand over to nobody."""
+        """Cancel the transfer, if one is running."""
         self._target = NO_REPLICA
--- a/src/cinderway/replication/_leader_log.py
+++ b/src/cinderway/replication/_leader_log.py
@@ -1,9 +1,9 @@
-"""The leader's side of the log: send it to all members, commit what a quorum holds."""
+"""The leader's side of log replication: send entries, commit what a quorum holds."""
 
 from collections.abc import Callable
 
 from cinderway._ids import ReplicaId
-from cinderway.replication._handover import Handover
+from cinderway.replication._handover import LeadershipTransfer
 from cinderway.replication._messages import (
     AppendReply,
     AppendRequest,
@@ -11,7 +11,7 @@
     SnapshotRequest,
 )
 from cinderway.replication._progress import Progress, is_quorum, quorum_value
-from cinderway.replication._reads import Reads
+from cinderway.replication._reads import LinearizableReads
 from cinderway.replication._state import ReplicaState
 
 ENTRIES_PER_REQUEST = 512
@@ -21,35 +21,38 @@
 
 
 class LeaderLog:
-    """What a leader does with its log; it does nothing on other replicas.
+    """Replicates the leader's log to the members; unused on other replicas.
 
-    A broadcast may be put off by `is_broadcast_due`, so that what comes in together
-    shares one round of messages.
+    Setting `is_broadcast_due` defers a broadcast to the next output, so that inputs
+    which arrive together share one round of messages.
     """
 
     def __init__(
         self,
         state: ReplicaState,
-        reads: Reads,
-        handover: Handover,
+        reads: LinearizableReads,
+        transfer: LeadershipTransfer,
         become_follower: Callable[[int], None],
     ):
         self._state = state
         self._reads = reads
-        self._handover = handover
+        self._transfer = transfer
         self._become_follower = become_follower
         self.is_broadcast_due = False
         self._next_heartbeat_at_ms = state.now_ms
 
     def start(self) -> None:
-        """Begin to lead; the empty entry commits what earlier leaders left."""
+        """Start as leader and append an empty entry.
+
+        Once it is committed, so are all entries that earlier leaders left.
+        """
         self._state.progress = {}
-        self.follow_membership()
+        self.reconcile_progress()
         self._state.append_own(EntryKind.NOTHING, b"")
         self.broadcast()
 
-    def follow_membership(self) -> None:
-        """Keep progress for the members in effect, and for no others."""
+    def reconcile_progress(self) -> None:
+        """Track progress for exactly the members of the current membership."""
         state = self._state
         members = state.membership.members.keys() | {state.replica_id}
         for replica_id in members - state.progress.keys():
@@ -62,15 +65,15 @@
             del state.progress[replica_id]
         state.progress[state.replica_id].match_index = state.persisted_index
 
-    def hears_quorum(self) -> bool:
-        """Whether enough members were heard lately to go on leading."""
+    def has_quorum_contact(self) -> bool:
+        """Whether a quorum was heard from recently enough to remain leader."""
         state = self._state
         oldest_ms = state.now_ms - state.timing.quorum_silent_ms
         silent = set(state.silent_since(oldest_ms))
         return is_quorum(state.membership.voters, state.progress.keys() - silent)
 
     def broadcast(self) -> None:
-        """Send every other member what it lacks; doubles as a heartbeat."""
+        """Send every other member the entries that it lacks; serves as a heartbeat."""
         state = self._state
         self.is_broadcast_due = False
         self._next_heartbeat_at_ms = state.now_ms + state.timing.heartbeat_ms
@@ -81,12 +84,12 @@
         self._reads.confirm()
 
     def send_heartbeat(self) -> None:
-        """Broadcast if the last broadcast is a heartbeat interval ago."""
+        """Broadcast if a heartbeat interval has passed since the last broadcast."""
         if self._state.now_ms >= self._next_heartbeat_at_ms:
             self.broadcast()
 
-    def note_persisted(self) -> None:
-        """Count the leader's own copy, which has become durable further on."""
+    def update_own_match_index(self) -> None:
+        """Record how far the leader's own log is durable, and advance the commit."""
         state = self._state
         state.progress[state.replica_id].match_index = state.persisted_index
         self._advance_commit()
@@ -111,8 +114,8 @@
             entries=entries,
             sender_address=state.address,
         )
-        # Taken as delivered: if it is lost, the next heartbeat does not match and
-        # its answer says where to go on.
+        # The request is assumed to be delivered. If it is lost, the next heartbeat
+        # does not match, and the reply tells at which index to continue.
         progress.next_index += len(entries)
         state.send(request)
 
@@ -131,8 +134,8 @@
         )
         state.send(request)
 
-    def on_append_reply(self, reply: AppendReply) -> None:
-        """Take a member's word on how far its log matches."""
+    def receive_append_reply(self, reply: AppendReply) -> None:
+        """Update a member's progress from its reply, and advance the commit index."""
         state = self._state
         if reply.term > state.term:
             self._become_follower(reply.term)
@@ -151,17 +154,18 @@
         if not reply.is_match or progress.next_index <= state.log.last_index:
             self._send_append(reply.sender)
         self._reads.confirm()
-        self._handover.advance()
+        self._transfer.advance()
 
     def _advance_commit(self) -> None:
         state = self._state
         index = quorum_value(state.membership.voters, self._match_index_of)
-        # Only an entry of the own term commits by counting replicas; older ones
-        # commit with it (Ongaro, section 3.6.2).
+        # Only an entry of the current term is committed by counting replicas; older
+        # entries are committed along with it (Ongaro, section 3.6.2).
         if index > state.commit_index and state.log.term_at(index) == state.term:
             state.commit_index = index
-            # Told at once: the others apply a change a message's way after it was
-            # acknowledged, not a heartbeat later, and also if the leader dies then.
+            # The new commit index is sent at once. The followers then apply a change
+            # one message delay after it was acknowledged rather than a heartbeat later,
+            # even if the leader crashes right after acknowledging it.
             self.is_broadcast_due = True
 
     def _match_index_of(self, replica_id: ReplicaId) -> int:
--- a/src/cinderway/replication/_links.py
+++ b/src/cinderway/replication/_links.py
@@ -1,4 +1,4 @@
-"""One-way message links to the other replicas, one connection an address."""
+"""One-way message links to the other replicas, with one connection per address."""
 
 from collections import deque
 
@@ -11,14 +11,14 @@
 from cinderway.wire import Identity, connect
 
 QUEUE_LIMIT = 256
-RECONNECT_PAUSE_S = 0.1
+RECONNECT_DELAY_S = 0.1
 
 
 class Links:
-    """Sends messages in order while a connection lasts; drops them otherwise.
+    """Sends messages in order while a connection is up; drops them otherwise.
 
-    The protocol above repeats whatever matters, so a message that cannot be sent
-    soon is better dropped than kept.
+    The Raft protocol resends whatever matters, so a message that cannot be sent soon
+    is dropped rather than kept. A full queue drops its oldest messages.
     """
 
     def __init__(self, tasks: TaskGroup, identity: Identity):
@@ -31,22 +31,22 @@
         queue = self._queues.get(address)
         if queue is None:
             queue = self._queues[address] = _Queue()
-            self._tasks.start_soon(self._drain, address, queue)
+            self._tasks.start_soon(self._send_queued, address, queue)
         queue.put(message)
 
-    async def _drain(self, address: Address, queue: "_Queue") -> None:
+    async def _send_queued(self, address: Address, queue: "_Queue") -> None:
         while True:
-            await queue.wait()
+            await queue.wait_for_message()
             try:
                 connection = await connect(address, REPLICATION, self._identity)
             except CinderwayError:
                 queue.clear()
-                await anyio.sleep(RECONNECT_PAUSE_S)
+                await anyio.sleep(RECONNECT_DELAY_S)
                 continue
             try:
                 while True:
-                    await queue.wait()
-                    await connection.send(queue.take())
+                    await queue.wait_for_message()
+                    await connection.send(queue.pop())
             except CinderwayError:
                 queue.clear()
             finally:
@@ -56,19 +56,19 @@
 class _Queue:
     def __init__(self):
         self._messages: deque[ReplicaMessage] = deque(maxlen=QUEUE_LIMIT)
-        self._filled = anyio.Event()
+        self._message_added = anyio.Event()
 
     def put(self, message: ReplicaMessage) -> None:
         self._messages.append(message)
-        self._filled.set()
+        self._message_added.set()
 
-    def take(self) -> ReplicaMessage:
+    def pop(self) -> ReplicaMessage:
         return self._messages.popleft()
 
     def clear(self) -> None:
         self._messages.clear()
 
-    async def wait(self) -> None:
+    async def wait_for_message(self) -> None:
         while not self._messages:
-            self._filled = anyio.Event()
-            await self._filled.wait()
+            self._message_added = anyio.Event()
+            await self._message_added.wait()
--- a/src/cinderway/replication/_log.py
+++ b/src/cinderway/replication/_log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: a snapshot, then the entries that follow it."""
+"""The in-memory replicated log: a snapshot and the entries that follow it."""
 
 from cinderway.replication._messages import (
     EMPTY_SNAPSHOT,
@@ -10,17 +10,17 @@
 
 
 class Log:
-    """Entries from `snapshot.index + 1` on, and the membership they lead to.
+    """Entries from `snapshot.index + 1` on, and the membership that they define.
 
-    A membership takes effect as soon as its entry is in the log, committed or
-    not, and goes out of effect when that entry is overwritten.
+    A membership takes effect as soon as its entry is in the log, committed or not,
+    and is reverted when that entry is overwritten.
     """
 
     def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries=()):
         self.snapshot = snapshot
         self._entries: list[Entry] = list(entries)
         self._memberships = [(snapshot.index, Membership.decode(snapshot.membership))]
-        self._note_memberships(self._entries)
+        self._record_memberships(self._entries)
 
     @property
     def last_index(self) -> int:
@@ -34,20 +34,20 @@
 
     @property
     def membership(self) -> Membership:
-        """The membership in effect: the newest in the log."""
+        """The current membership: the newest one in the log."""
         return self._memberships[-1][1]
 
     @property
     def membership_index(self) -> int:
-        """Index of the entry that brought the membership in effect."""
+        """Index of the entry that introduced the current membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> Membership:
-        """The membership as of an index not below the snapshot's."""
+        """The membership as of an index, which must not be below the snapshot's."""
         return [m for at, m in self._memberships if at <= index][-1]
 
     def term_at(self, index: int) -> int | None:
-        """Term of the entry at an index, or None where the log does not hold it."""
+        """Term of the entry at an index, or None if the log does not hold it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -56,13 +56,13 @@
         return None
 
     def entries_from(self, index: int, limit: int | None = None) -> list[Entry]:
-        """Entries from an index on, at most `limit` of them."""
+        """Return the entries from an index on, at most `limit` of them."""
         start = index - self.snapshot.index - 1
         stop = None if limit is None else start + limit
         return self._entries[start:stop]
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries, overwriting whatever stands at their indexes and after."""
+        """Append entries, overwriting everything at and after their first index."""
         if not entries:
             return
         first_index = entries[0].index
@@ -70,12 +70,12 @@
         while self._memberships[-1][0] >= first_index:
             self._memberships.pop()
         self._entries.extend(entries)
-        self._note_memberships(entries)
+        self._record_memberships(entries)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in place of the entries up to its index.
+        """Replace the entries up to a snapshot's index by the snapshot.
 
-        Entries after it stay only if this log agrees with the snapshot's end.
+        Later entries are kept only if this log has the snapshot's term at its index.
         """
         if self.term_at(snapshot.index) == snapshot.term:
             remaining = self.entries_from(snapshot.index + 1)
@@ -83,7 +83,7 @@
             remaining = []
         self.__init__(snapshot, remaining)
 
-    def _note_memberships(self, entries: list[Entry]) -> None:
+    def _record_memberships(self, entries: list[Entry]) -> None:
         for entry in entries:
             if entry.kind is EntryKind.MEMBERSHIP:
                 self._memberships.append((entry.index, Membership.decode(entry.data)))
--- a/src/cinderway/replication/_messages.py
+++ b/src/cinderway/replication/_messages.py
@@ -1,4 +1,4 @@
-"""What replicas say to each other, and the records that they keep."""
+"""The messages that replicas exchange, and the records that they store."""
 
 import enum
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry holds."""
+    """The kind of content that a log entry holds."""
 
     NOTHING = 0
     COMMAND = 1
@@ -18,7 +18,7 @@
 
 
 class Entry(Message, frozen=True):
-    """One position of the replicated log."""
+    """One entry of the replicated log."""
 
     index: int
     term: int
@@ -27,7 +27,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A replica of the group. A learner receives the log but has no vote."""
+    """A replica of the group: a voter, or a learner that only receives the log."""
 
     address: Address
     is_voter: bool
@@ -51,17 +51,17 @@
         return Membership(self.cluster_id, {**self.members, replica_id: member})
 
     def without(self, replica_id: ReplicaId) -> "Membership":
-        """Return the membership with one replica left out."""
+        """Return the membership with one replica removed."""
         remaining = {k: v for k, v in self.members.items() if k != replica_id}
         return Membership(self.cluster_id, remaining)
 
     def encode(self) -> bytes:
-        """Return the bytes kept in log entries and snapshots."""
+        """Return the encoded form that log entries and snapshots store."""
         return msgspec.msgpack.encode(self)
 
     @staticmethod
     def decode(data: bytes) -> "Membership":
-        """Return the membership that `encode` gave these bytes for."""
+        """Return the membership that `encode` encoded as `data`."""
         return msgspec.msgpack.decode(data, type=Membership)
 
 
@@ -69,7 +69,7 @@
 
 
 class Snapshot(Message, frozen=True):
-    """The state machine's whole state as of a committed index."""
+    """The complete state of the state machine as of a committed index."""
 
     index: int
     term: int
@@ -81,17 +81,17 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """What a replica must never forget between two messages."""
+    """The term and vote; they are durable before any message that relies on them."""
 
     term: int = 0
     voted_for: ReplicaId = NO_REPLICA
 
 
 class VoteRequest(Message, frozen=True):
-    """Ask for a vote, or with `is_pre_vote` whether a vote would be given.
+    """Asks for a vote, or with `is_pre_vote` whether a vote would be granted.
 
-    Requests carry where to answer: a replica that has only an old snapshot so far
-    does not find the sender among the members that it knows.
+    Requests carry the address to reply to: a replica that has only an old snapshot so
+    far may not find the sender in the membership that it knows.
     """
 
     sender: ReplicaId
@@ -115,7 +115,11 @@
 
 
 class AppendRequest(Message, frozen=True):
-    """The leader's heartbeat, with the entries that follow `previous_index`."""
+    """The leader's heartbeat, with the entries that follow `previous_index`.
+
+    `round` counts the leader's broadcasts; the reply returns it, which lets the leader
+    confirm reads.
+    """
 
     sender: ReplicaId
     target: ReplicaId
@@ -129,7 +133,11 @@
 
 
 class AppendReply(Message, frozen=True):
-    """Answer to AppendRequest; `match_index` is a hint where to go on if no match."""
+    """Answer to AppendRequest.
+
+    If `is_match` is false, `match_index` is a hint: the next request should continue
+    after it.
+    """
 
     sender: ReplicaId
     target: ReplicaId
@@ -158,7 +166,7 @@
 
 
 class JoinRequest(Message, frozen=True):
-    """A replica with a new data folder asks to be taken in as a learner."""
+    """A replica with a new data folder asks to join the group as a learner."""
 
     sender: ReplicaId
     target: ReplicaId
@@ -180,7 +188,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingMessage:
     """A message and the address to send it to."""
 
     address: Address
--- a/src/cinderway/replication/_node.py
+++ b/src/cinderway/replication/_node.py
@@ -1,4 +1,4 @@
-"""Runs one replica: disk, network, clock and state machine around the pure core."""
+"""Runs one replica: connects the I/O-free core to disk, network, clock and commands."""
 
 import logging
 import random
@@ -27,67 +27,74 @@
 logger = logging.getLogger(__name__)
 
 TICK_S = 0.02
-JOIN_PAUSE_S = 0.3
-HAND_OVER_LIMIT_S = 1.0
-# A disk that refuses a write is asked again after this pause.
-DISK_RETRY_S = 0.2
-# Writing a snapshot is work; after a failure the log can wait longer.
-COMPACT_RETRY_MS = 5_000
+JOIN_INTERVAL_S = 0.3
+TRANSFER_TIMEOUT_S = 1.0
+# A failed disk write is retried after this delay.
+DISK_RETRY_DELAY_S = 0.2
+# Writing a snapshot is expensive, and the log can go on growing meanwhile, so after a
+# failure compaction is retried later than other writes.
+COMPACTION_RETRY_DELAY_MS = 5_000
 
 
 class StateMachine(Protocol):
-    """What the replicated commands act on. Must depend on its inputs only."""
+    """The state that replicated commands act on.
+
+    It must be deterministic, so that all replicas compute the same state.
+    """
 
     def apply(self, index: int, data: bytes) -> Any:
-        """Carry out a committed command and return its result."""
+        """Execute a committed command and return its result."""
 
     def freeze(self) -> Callable[[], bytes]:
-        """Return what encodes the state as of now, later and in another thread.
+        """Return a function that encodes the state as of this call.
 
-        It must let other threads run every few milliseconds, or heartbeats stop.
+        The function is called later, in another thread. It must let other threads run
+        every few milliseconds, or heartbeats stop.
         """
 
     def restore(self, data: bytes) -> None:
-        """Take over an encoded state; b"" is the first one."""
+        """Load an encoded state; b"" stands for the initial state."""
 
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """How one replica runs."""
+    """Configuration of one replica."""
 
     address: Address
     peers: tuple[Address, ...]
     timing: Timing = Timing()
     compact_at_bytes: int = 4 * 1024 * 1024
     tick_s: float = TICK_S
-    # Above this many, a voter that stays silent is taken out; 0: none ever is.
+    # While there are more voters than this, a voter that stays silent is removed; with
+    # 0 none is ever removed.
     wanted_voters: int = 0
 
 
 @dataclass
 class NodeCounters:
-    """Counted since start."""
+    """Event counts since the start of the process."""
 
     syncs: int = 0
-    records_bytes: int = 0
+    wal_bytes_written: int = 0
     applied: int = 0
     snapshots: int = 0
     elections_won: int = 0
 
 
 @dataclass
-class _Waiting:
+class _PendingCall:
     term: int
     done: anyio.Event = field(default_factory=anyio.Event)
     result: Any = None
-    was_replaced: bool = False
+    is_overwritten: bool = False
 
 
 class Node:
     """One replica of a group, from start to stop.
 
-    `propose` returns only after the command is durable on a quorum and applied
-    here. When it raises DEADLINE_PASSED the command may still take effect.
+    `propose` returns only after the command is durable on a quorum and applied to the
+    local state machine. If it raises DEADLINE_PASSED, the command may still take
+    effect later.
     """
 
     def __init__(
@@ -100,12 +107,13 @@
         self.folder = folder
         self.state_machine = state_machine
         self.settings = settings
-        # Asked to be taken in by, until this replica is a member.
+        # Join requests go to these addresses until this replica is a member.
         self.peers = settings.peers
         self.counters = NodeCounters()
         self.applied_index = 0
-        # When all that a leader had committed by then was known to be applied here.
-        self.known_at_ms: int | None = None
+        # The latest time as of which the local state is known to include everything
+        # that a leader had committed by then.
+        self.up_to_date_at_ms: int | None = None
         self._identity = identity
         recovered = folder.recover()
         state_machine.restore(recovered.log.snapshot.data)
@@ -122,41 +130,46 @@
         )
         self._wake = anyio.Event()
         self._applied = anyio.Event()
-        self._waiting: dict[int, _Waiting] = {}
-        self._reads: dict[int, _Waiting] = {}
+        self._pending_proposals: dict[int, _PendingCall] = {}
+        self._pending_reads: dict[int, _PendingCall] = {}
         self._next_read_id = 1
-        self._compact_after_ms = 0
+        self._compaction_paused_until_ms = 0
         self._last_role = Role.FOLLOWER
 
     @property
     def route(self) -> Route:
-        """What serves the other replicas' connections to this one."""
+        """The handler of connections from other replicas."""
         return Route(REPLICATION, self._receive)
 
     @property
     def leader_address(self) -> Address | None:
-        """Where the leader is, as far as known here."""
+        """The leader's address, or None if this replica does not know it."""
         member = self.core.membership.members.get(self.core.leader_id)
         return member.address if member else None
 
     @property
     def has_caught_up(self) -> bool:
-        """Whether what is applied here held all that was acknowledged, at some time."""
+        """Whether the local state has included all acknowledged commands at some time.
+
+        This is false from the start of the process until the replica has learned from
+        a leader, or from its own election, what is committed, and has applied it.
+        """
         core = self.core
         return core.has_caught_up and self.applied_index >= core.caught_up_index
 
     def knowledge_age_ms(self, now_ms: int) -> int | None:
-        """How old what is applied here may be; None if that is not known.
+        """Upper bound of the local state's age in milliseconds; None if not known.
 
-        A replica may hear its leader and still apply nothing, while its disk stalls.
-        By the leader's last message alone such a one passed for current.
+        The time of the leader's last message is not enough: a replica whose disk
+        stalls hears its leader but applies nothing, and would pass for current.
         """
-        # A new leader may hold what was acknowledged before, and not know it committed.
-        if self.core.leads_at(now_ms) and self.core.has_committed_in_term:
+        # A new leader may hold entries that were acknowledged earlier without knowing
+        # that they are committed, until it has committed an entry in its own term.
+        if self.core.is_leader_at(now_ms) and self.core.has_committed_in_term:
             return 0
-        if self.known_at_ms is None:
+        if self.up_to_date_at_ms is None:
             return None
-        return max(now_ms - self.known_at_ms, 0)
+        return max(now_ms - self.up_to_date_at_ms, 0)
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -164,69 +177,73 @@
             links = Links(tasks, self._identity)
             tasks.start_soon(self._tick)
             tasks.start_soon(self._join, links)
-            await self._work(links)
+            await self._process_output(links)
 
     async def propose(self, data: bytes, timeout_s: float) -> Any:
-        """Replicate a command and return what applying it gave."""
+        """Replicate a command and return the result of applying it."""
         index = self.core.propose(data)
-        waiting = self._waiting[index] = _Waiting(self.core.term)
+        pending = self._pending_proposals[index] = _PendingCall(self.core.term)
         self._wake.set()
         try:
             with anyio.fail_after(timeout_s):
-                await waiting.done.wait()
+                await pending.done.wait()
         except TimeoutError as error:
-            raise self._no_quorum("the command was not committed in time") from error
+            raise self._deadline_error(
+                "the command was not committed in time"
+            ) from error
         finally:
-            if self._waiting.get(index) is waiting:
-                del self._waiting[index]
-        if waiting.was_replaced:
+            if self._pending_proposals.get(index) is pending:
+                del self._pending_proposals[index]
+        if pending.is_overwritten:
             raise CinderwayError(
                 ErrorCode.NOT_LEADER,
-                "another leader replaced the command",
+                "another leader overwrote the command before it was committed",
                 step=Step.PROPOSE,
             )
-        return waiting.result
+        return pending.result
 
     async def read_barrier(self, timeout_s: float) -> None:
-        """Return once the state here is as new as any acknowledged before the call."""
+        """Return once the local state has all commands acknowledged before the call."""
         read_id = self._next_read_id
         self._next_read_id += 1
-        self.core.read(read_id)
-        waiting = self._reads[read_id] = _Waiting(self.core.term)
+        self.core.request_read(read_id)
+        pending = self._pending_reads[read_id] = _PendingCall(self.core.term)
         self._wake.set()
         try:
             with anyio.fail_after(timeout_s):
-                await waiting.done.wait()
-                while self.applied_index < waiting.result:
+                await pending.done.wait()
+                while self.applied_index < pending.result:
                     await self.wait_applied()
         except TimeoutError as error:
-            raise self._no_quorum("no quorum confirmed the leader") from error
+            raise self._deadline_error(
+                "no quorum confirmed the leader in time"
+            ) from error
         finally:
-            del self._reads[read_id]
+            del self._pending_reads[read_id]
 
     async def wait_applied(self) -> None:
-        """Return when another entry has been applied."""
+        """Return when at least one more entry has been applied."""
         await self._applied.wait()
 
     async def remove_member(self, replica_id: ReplicaId) -> None:
-        """Take a replica out of the group."""
+        """Remove a replica from the group."""
         self.core.remove_member(replica_id)
         self._wake.set()
 
     async def hand_over(self) -> None:
-        """Give leadership to another replica, as far as one is there to take it."""
-        with anyio.move_on_after(HAND_OVER_LIMIT_S):
+        """Transfer leadership to another replica, if one takes it in time."""
+        with anyio.move_on_after(TRANSFER_TIMEOUT_S):
             while self.core.is_leader:
                 self.core.transfer_leadership()
                 self._wake.set()
                 await anyio.sleep(TICK_S)
 
-    # Tasks.
+    # Background tasks.
 
     async def _tick(self) -> None:
         while True:
             self.core.tick(monotonic_ms())
-            self._note_role()
+            self._record_role_change()
             self._wake.set()
             await anyio.sleep(self.settings.tick_s)
 
@@ -235,7 +252,7 @@
             for address in self.peers:
                 if address != self.settings.address:
                     links.send(address, self._join_request())
-            await anyio.sleep(JOIN_PAUSE_S)
+            await anyio.sleep(JOIN_INTERVAL_S)
 
     def _join_request(self) -> JoinRequest:
         return JoinRequest(
@@ -251,63 +268,69 @@
             self.core.step(envelope.message, monotonic_ms())
             self._wake.set()
 
-    async def _work(self, links: Links) -> None:
+    async def _process_output(self, links: Links) -> None:
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
             output = self.core.take_output()
-            for outgoing in output.take_early():
+            for outgoing in output.take_early_messages():
                 links.send(outgoing.address, outgoing.message)
-            await self._make_durable(output)
+            await self._persist(output)
             for outgoing in output.outgoing:
                 links.send(outgoing.address, outgoing.message)
             self._apply(output.committed)
-            self._note_known()
-            self._confirm(output.reads)
+            self._record_freshness()
+            self._complete_reads(output.reads)
             await self._compact_if_large()
 
-    async def _make_durable(self, output: Output) -> None:
+    async def _persist(self, output: Output) -> None:
         if not output.has_records:
             return
-        # Read before the thread starts: while it writes, messages go on arriving.
+        # These are read before the worker thread starts writing, because messages that
+        # arrive while it writes can change them.
         last_index, last_term = self.core.log.last_index, self.core.log.last_term
         hard_state = self.core.hard_state
         if output.snapshot is not None:
-            await self._until_written(
+            await self._write_with_retries(
                 self.folder.replace, output.snapshot, hard_state, output.entries
             )
             self.state_machine.restore(output.snapshot.data)
             self.applied_index = output.snapshot.index
-            self._note_applied()
+            self._notify_applied()
         else:
             before_bytes = self.folder.wal_bytes
-            await self._until_written(
+            await self._write_with_retries(
                 self.folder.append, output.hard_state, output.entries
             )
-            self.counters.records_bytes += self.folder.wal_bytes - before_bytes
+            self.counters.wal_bytes_written += self.folder.wal_bytes - before_bytes
         self.counters.syncs += 1
-        self.core.persisted(last_index, last_term)
+        self.core.record_persisted(last_index, last_term)
         self._wake.set()
 
-    async def _until_written(self, write: Callable[..., None], *content: Any) -> None:
-        """Write to the disk, again and again while it refuses.
+    async def _write_with_retries(
+        self, write: Callable[..., None], *content: Any
+    ) -> None:
+        """Write to the disk, retrying until it succeeds.
 
-        Meanwhile this replica sends nothing, as if it were cut off: it acknowledges
-        nothing, and a leader is replaced by one whose disk works.
+        Meanwhile this replica sends nothing, as if it were partitioned away: it
+        acknowledges nothing, and if it leads, the others elect a leader whose disk
+        works.
         """
-        is_told = False
+        is_logged = False
         while True:
             try:
                 await anyio.to_thread.run_sync(write, *content)
             except OSError as error:
-                if not is_told:
-                    logger.error("the disk refuses a write: %s; trying again", error)
-                is_told = True
-                await anyio.sleep(DISK_RETRY_S)
+                if not is_logged:
+                    logger.error(
+                        "disk write failed: %s; retrying until it succeeds", error
+                    )
+                is_logged = True
+                await anyio.sleep(DISK_RETRY_DELAY_S)
             else:
                 break
-        if is_told:
-            logger.warning("the disk takes writes again")
+        if is_logged:
+            logger.warning("disk write succeeded after retries")
 
     def _apply(self, entries: list[Entry]) -> None:
         for entry in entries:
@@ -316,34 +339,34 @@
                 result = self.state_machine.apply(entry.index, entry.data)
             self.applied_index = entry.index
             self.counters.applied += 1
-            waiting = self._waiting.get(entry.index)
-            if waiting is not None:
-                waiting.result = result
-                waiting.was_replaced = waiting.term != entry.term
-                waiting.done.set()
+            pending = self._pending_proposals.get(entry.index)
+            if pending is not None:
+                pending.result = result
+                pending.is_overwritten = pending.term != entry.term
+                pending.done.set()
         if entries:
-            self._note_applied()
+            self._notify_applied()
 
-    def _note_known(self) -> None:
-        if self.applied_index >= self.core.told_commit_index:
-            self.known_at_ms = self.core.told_at_ms
+    def _record_freshness(self) -> None:
+        if self.applied_index >= self.core.leader_commit_index:
+            self.up_to_date_at_ms = self.core.leader_commit_received_at_ms
 
-    def _confirm(self, reads: list[ConfirmedRead]) -> None:
+    def _complete_reads(self, reads: list[ConfirmedRead]) -> None:
         for read in reads:
-            waiting = self._reads.get(read.read_id)
-            if waiting is not None:
-                waiting.result = read.index
-                waiting.done.set()
+            pending = self._pending_reads.get(read.read_id)
+            if pending is not None:
+                pending.result = read.index
+                pending.done.set()
 
     async def _compact_if_large(self) -> None:
-        # A large state is written again only after as much log, so that writing
-        # snapshots stays a constant share of all writing.
+        # The log must grow at least as large as the last snapshot before the next one
+        # is written, so that snapshots stay a bounded share of all bytes written.
         snapshot_bytes = len(self.core.log.snapshot.data)
         limit_bytes = max(self.settings.compact_at_bytes, snapshot_bytes)
         if self.folder.wal_bytes < limit_bytes:
             return
         index = self.applied_index
-        is_paused = monotonic_ms() < self._compact_after_ms
+        is_paused = monotonic_ms() < self._compaction_paused_until_ms
         if index == self.core.log.snapshot.index or is_paused:
             return
         term = self.core.log.term_at(index)
@@ -351,8 +374,9 @@
         encode = self.state_machine.freeze()
         data = await anyio.to_thread.run_sync(encode)
         snapshot = Snapshot(index, term, membership, data)
-        # Messages that came in meanwhile have changed the log in memory only; what
-        # is written now is written again with the output that they led to.
+        # Messages that arrived while the state was encoded have changed the log in
+        # memory only. The entries written here may include such changes; they are
+        # written again when the output of those messages is persisted.
         try:
             await anyio.to_thread.run_sync(
                 self.folder.replace,
@@ -361,31 +385,33 @@
                 self.core.log.entries_from(index + 1),
             )
         except OSError as error:
-            logger.error("no snapshot was written: %s; the log goes on", error)
-            self._compact_after_ms = monotonic_ms() + COMPACT_RETRY_MS
+            logger.error("writing a snapshot failed: %s; keeping the log", error)
+            self._compaction_paused_until_ms = (
+                monotonic_ms() + COMPACTION_RETRY_DELAY_MS
+            )
             return
         self.counters.snapshots += 1
         if snapshot.index > self.core.log.snapshot.index:
             self.core.compact(snapshot)
 
-    def _note_applied(self) -> None:
+    def _notify_applied(self) -> None:
         self._applied.set()
         self._applied = anyio.Event()
 
-    def _note_role(self) -> None:
+    def _record_role_change(self) -> None:
         if self.core.role is self._last_role:
             return
         if self.core.is_leader:
             self.counters.elections_won += 1
         logger.info(
-            "replica %x is now %s in term %d",
+            "replica %x became %s in term %d",
             self.core.replica_id,
             self.core.role.value,
             self.core.term,
         )
         self._last_role = self.core.role
 
-    def _no_quorum(self, detail: str) -> CinderwayError:
+    def _deadline_error(self, detail: str) -> CinderwayError:
         return CinderwayError(
             ErrorCode.DEADLINE_PASSED,
             detail,
--- a/src/cinderway/replication/_output.py
+++ b/src/cinderway/replication/_output.py
@@ -1,4 +1,4 @@
-"""What a replica asks of its driver."""
+"""The work that a replica requests from its driver."""
 
 from dataclasses import dataclass, field
 
@@ -6,14 +6,14 @@
     AppendRequest,
     Entry,
     HardState,
-    Outgoing,
+    OutgoingMessage,
     Snapshot,
 )
 
 
 @dataclass(frozen=True)
 class ConfirmedRead:
-    """A read that may be answered once `index` is applied."""
+    """A confirmed read, which may be answered once `index` is applied."""
 
     read_id: int
     index: int
@@ -21,20 +21,25 @@
 
 @dataclass
 class Output:
-    """What the driver must do, in the order of the fields."""
+    """What the driver must do, in the order of the fields.
+
+    The snapshot, hard state and entries are made durable, then the messages are sent,
+    the committed entries applied and the reads answered.
+    """
 
     snapshot: Snapshot | None = None
     hard_state: HardState | None = None
     entries: list[Entry] = field(default_factory=list)
-    outgoing: list[Outgoing] = field(default_factory=list)
+    outgoing: list[OutgoingMessage] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
     reads: list[ConfirmedRead] = field(default_factory=list)
 
-    def take_early(self) -> list[Outgoing]:
-        """Return, and take out, the messages that need not wait for the disk.
+    def take_early_messages(self) -> list[OutgoingMessage]:
+        """Remove and return the messages that need not wait for the disk.
 
-        A leader's entries may travel while it writes them itself: it counts its own
-        copy only once that is synced. A new term or vote must be durable first.
+        A leader may send its entries while it is still writing them, because it counts
+        its own copy only once that is synced. A new term, vote or snapshot must be
+        durable first, so with one of them no message is sent early.
         """
         if self.hard_state is not None or self.snapshot is not None:
             return []
@@ -44,5 +49,5 @@
 
     @property
     def has_records(self) -> bool:
-        """Whether anything must be made durable."""
+        """Whether there is anything to make durable."""
         return bool(self.snapshot or self.hard_state or self.entries)
--- a/src/cinderway/replication/_progress.py
+++ b/src/cinderway/replication/_progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each member, and what a quorum of them agrees on."""
+"""A leader's view of each member, quorum computations, and the next member change."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -11,8 +11,9 @@
 class Progress:
     """How far one member's log is known to match the leader's.
 
-    A learner below `joined_at_index` has not even received the change that took it
-    in, so however short the log is, it has not caught up.
+    `joined_at_index` is the index of the membership entry that added the member. A
+    learner below it has not even received that entry, so it has not caught up, however
+    short the log is. `round` is the latest broadcast round that the member answered.
     """
 
     next_index: int
@@ -32,38 +33,38 @@
 
 
 def is_quorum(voters: frozenset[ReplicaId], ids: Iterable[ReplicaId]) -> bool:
-    """Whether the ids hold more than half of the votes; others do not count."""
+    """Whether the ids include more than half of the voters; other ids do not count."""
     return 2 * len(voters.intersection(ids)) > len(voters)
 
 
 def next_membership(
     membership: Membership,
     joining: dict[ReplicaId, Address],
-    caught_up: Callable[[ReplicaId], bool],
+    is_caught_up: Callable[[ReplicaId], bool],
 ) -> Membership | None:
-    """Return the next single change that the group should make, or None.
+    """Return the membership after the next single change, or None if none is due.
 
-    A replica that joins from an address which another member holds has lost that
-    member's data folder: two processes cannot listen on one address. The old
-    identity leaves first, because voters {A, B, old} and {A, B, new} have
-    majorities without a common replica, so swapping them in one step is not safe.
+    A replica that joins from the address of an existing member has replaced that
+    member after the loss of its data folder, since two processes cannot listen on one
+    address. The old replica id is removed first: voters {A, B, old} and {A, B, new}
+    have majorities without a common replica, so swapping them in one step is not safe.
     """
     for replica_id, address in joining.items():
         if replica_id in membership.members:
             continue
-        replaced = _holder_of(membership, address)
+        replaced = _find_member_at(membership, address)
         if replaced is not None:
             return membership.without(replaced)
         return membership.with_member(replica_id, Member(address, is_voter=False))
     for replica_id, member in membership.members.items():
-        if not member.is_voter and caught_up(replica_id):
+        if not member.is_voter and is_caught_up(replica_id):
             return membership.with_member(
                 replica_id, Member(member.address, is_voter=True)
             )
     return None
 
 
-def _holder_of(membership: Membership, address: Address) -> ReplicaId | None:
+def _find_member_at(membership: Membership, address: Address) -> ReplicaId | None:
     for replica_id, member in membership.members.items():
         if member.address == address:
             return replica_id
--- a/src/cinderway/replication/_records.py
+++ b/src/cinderway/replication/_records.py
@@ -1,8 +1,9 @@
-"""Records of the write-ahead log: framing, checksums, and what damage means.
+"""Records of the write-ahead log: framing, checksums, and the handling of damage.
 
-A record is written and synced as a whole before the next one is begun, so after a
-crash at most the last record can be incomplete: a torn tail, which nobody was
-promised. Anything else that cannot be read is damage and is never guessed over.
+Each record is written and synced as a whole before the next one is started, so after a
+crash at most the last record can be incomplete. Such a torn tail was never acknowledged
+to anyone and may be dropped. Any other unreadable content is damage, and is reported
+rather than skipped.
 """
 
 import struct
@@ -12,37 +13,37 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 
 MAGIC = b"CWR1"
-# Magic, payload length, checksum of the payload, checksum of the header so far.
+# Magic, payload length, CRC-32 of the payload, CRC-32 of the preceding header fields.
 HEADER = struct.Struct(">4sIII")
 SECTOR_BYTES = 512
 
 
 @dataclass(frozen=True)
 class ScannedRecords:
-    """The readable records and the length in bytes that they take up."""
+    """The payloads of the readable records, and the total length of the records."""
 
     payloads: list[bytes]
     valid_bytes: int
 
 
 def frame_record(payload: bytes) -> bytes:
-    """Return a record's bytes."""
+    """Return the payload framed as a record."""
     start = struct.pack(">4sII", MAGIC, len(payload), zlib.crc32(payload))
     return start + struct.pack(">I", zlib.crc32(start)) + payload
 
 
 def scan_records(content: bytes, *, source: str) -> ScannedRecords:
-    """Read records from the start; a torn tail ends them.
+    """Read records from the start, up to a torn tail if there is one.
 
-    Raises CinderwayError with DATA_DAMAGED when what cannot be read is not the
-    remainder of one write that a crash cut off.
+    Raises CinderwayError with DATA_DAMAGED if the unreadable rest is not the remainder
+    of one write that a crash cut off.
     """
     payloads: list[bytes] = []
     position = 0
     while position < len(content):
         payload = _payload_at(content, position)
         if payload is None:
-            _require_torn_tail(content, position, source)
+            _check_torn_tail(content, position, source)
             break
         payloads.append(payload)
         position += HEADER.size + len(payload)
@@ -50,7 +51,7 @@
 
 
 def _payload_at(content: bytes, position: int) -> bytes | None:
-    length_bytes = _announced_length(content, position)
+    length_bytes = _read_payload_length(content, position)
     if length_bytes is None:
         return None
     start = position + HEADER.size
@@ -61,7 +62,7 @@
     return payload
 
 
-def _announced_length(content: bytes, position: int) -> int | None:
+def _read_payload_length(content: bytes, position: int) -> int | None:
     header = content[position : position + HEADER.size]
     if len(header) < HEADER.size:
         return None
@@ -71,8 +72,8 @@
     return length_bytes
 
 
-def _require_torn_tail(content: bytes, position: int, source: str) -> None:
-    if _record_follows(content, position + 1) or not _looks_cut(content, position):
+def _check_torn_tail(content: bytes, position: int, source: str) -> None:
+    if _has_record_after(content, position + 1) or not _is_cut_short(content, position):
         raise CinderwayError(
             ErrorCode.DATA_DAMAGED,
             f"{source}: the record at byte {position} is damaged",
@@ -80,7 +81,7 @@
         )
 
 
-def _record_follows(content: bytes, position: int) -> bool:
+def _has_record_after(content: bytes, position: int) -> bool:
     position = content.find(MAGIC, position)
     while position != -1:
         if _payload_at(content, position) is not None:
@@ -89,12 +90,11 @@
     return False
 
 
-def _looks_cut(content: bytes, position: int) -> bool:
-    # A crash leaves a write short, or, where the file's length was already
-    # extended, with sectors still zero. A record of full length without a zero
-    # sector was once written and synced whole: its checksum fails for another
-    # reason.
-    length_bytes = _announced_length(content, position)
+def _is_cut_short(content: bytes, position: int) -> bool:
+    # A crash leaves a write short or, if the file's length was already extended, with
+    # some sectors still zero. A record of full length without a zero sector was once
+    # written and synced completely, so its checksum fails for another reason: damage.
+    length_bytes = _read_payload_length(content, position)
     if length_bytes is not None:
         is_short = position + HEADER.size + length_bytes > len(content)
         if is_short:
@@ -107,8 +107,8 @@
 def _has_zero_sector(content: bytes, position: int) -> bool:
     sector = position - position % SECTOR_BYTES
     while sector < len(content):
-        piece = content[max(sector, position) : sector + SECTOR_BYTES]
-        if not any(piece):
+        chunk = content[max(sector, position) : sector + SECTOR_BYTES]
+        if not any(chunk):
             return True
         sector += SECTOR_BYTES
     return False
--- a/src/cinderway/replication/_state.py
+++ b/src/cinderway/replication/_state.py
@@ -1,7 +1,7 @@
-"""What all parts of a replica share: its log, term, role, clock and output.
+"""The state that all parts of a replica share: log, term, role, clock and output.
 
-The parts (elections, both sides of the log, membership changes, reads) change this
-state and nothing else of each other, except through the methods they are given.
+The parts (elections, both sides of log replication, membership changes, reads) interact
+only by changing this state and through the methods that are passed to them.
 """
 
 import enum
@@ -15,7 +15,7 @@
     EntryKind,
     HardState,
     Membership,
-    Outgoing,
+    OutgoingMessage,
     ReplicaMessage,
     Snapshot,
 )
@@ -24,7 +24,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica is at the moment."""
+    """The current role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -34,24 +34,25 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Intervals of the protocol in milliseconds."""
+    """Timeouts and intervals of the protocol in milliseconds."""
 
     heartbeat_ms: int = 60
     election_min_ms: int = 400
     election_max_ms: int = 800
-    # Until a replica has heard a leader since its start: a group that was killed whole
-    # has none to wait for. A pre-vote disturbs nobody who does hear one.
+    # Election timeout range until the replica has heard a leader since its start. It
+    # may be shorter: a group that was killed as a whole has no leader to wait for, and
+    # a pre-vote does not disrupt replicas that are in contact with one.
     startup_min_ms: int = 400
     startup_max_ms: int = 800
-    # A leader that has not heard a quorum for this long steps down: until then its
-    # followers take it for one.
+    # A leader that has not heard from a quorum for this long steps down; until then
+    # its followers may still regard it as the leader.
     quorum_silent_ms: int = 800
-    # A voter that is silent for this long makes room once another took its place.
+    # A voter that is silent for this long may be removed once another has replaced it.
     replace_silent_ms: int = 5_000
 
 
 class ReplicaState:
-    """The state of one replica, and the few changes that several parts make to it."""
+    """The state of one replica, and the changes that several parts make to it."""
 
     def __init__(
         self,
@@ -73,14 +74,14 @@
         self.leader_heard_at_ms: int | None = None
         self.commit_index = log.snapshot.index
         self.persisted_index = log.last_index
-        # Of each member, itself too; only a leader keeps it.
+        # Progress of each member including this replica; only a leader tracks it.
         self.progress: dict[ReplicaId, Progress] = {}
         self.output = Output()
-        # The newest word of a leader that had committed in its term: up to which index
-        # it had committed, and when that was heard.
-        self.told_commit_index = 0
-        self.told_at_ms: int | None = None
-        self._handed_out_index = log.snapshot.index
+        # The newest commit index received from a leader that had committed in its term,
+        # and when it was received.
+        self.leader_commit_index = 0
+        self.leader_commit_received_at_ms: int | None = None
+        self._delivered_index = log.snapshot.index
         self._has_caught_up = False
         self.caught_up_index = 0
 
@@ -91,57 +92,58 @@
 
     @property
     def membership(self) -> Membership:
-        """The membership in effect here."""
+        """The current membership: the newest in this replica's log."""
         return self.log.membership
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads; another may already have replaced it."""
+        """Whether this replica acts as leader; another may already have replaced it."""
         return self.role is Role.LEADER
 
     @property
     def has_caught_up(self) -> bool:
-        """Whether what is committed here held all that was acknowledged, once at least.
+        """Whether the commit index has covered all acknowledged entries at some time.
 
-        A replica that has just started knows only a part of it until a leader, or its
-        own election, has told it more; it must not show that part as the state.
+        A replica that has just started knows only a part of what is committed, until a
+        leader or its own election tells it the rest. It must not present that part as
+        the current state.
         """
         if self.is_leader and self.has_committed_in_term:
-            self._note_caught_up(self.commit_index)
+            self._record_caught_up(self.commit_index)
         return self._has_caught_up
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether the newest committed entry is of the current term."""
+        """Whether the newest committed entry was created in the current term."""
         return self.log.term_at(self.commit_index) == self.term
 
     def silent_members(self) -> list[ReplicaId]:
-        """Members the leader has not heard from for an election timeout."""
+        """Members that the leader has not heard from for `election_max_ms`."""
         if not self.is_leader:
             return []
         return self.silent_since(self.now_ms - self.timing.election_max_ms)
 
     def silent_since(self, oldest_ms: int) -> list[ReplicaId]:
-        """Other members that were last heard before a point in time."""
+        """Other members that were last heard from before a point in time."""
         return [
             replica_id
             for replica_id, progress in self.progress.items()
             if replica_id != self.replica_id and progress.last_heard_ms < oldest_ms
         ]
 
-    def note_told(self, commit_index: int) -> None:
-        """Note a leader's word on what is committed, all of which is held here."""
-        self.told_commit_index = commit_index
-        self.told_at_ms = self.now_ms
-        self._note_caught_up(commit_index)
+    def record_leader_commit(self, commit_index: int) -> None:
+        """Record a leader's commit index; this replica holds all entries up to it."""
+        self.leader_commit_index = commit_index
+        self.leader_commit_received_at_ms = self.now_ms
+        self._record_caught_up(commit_index)
 
-    def _note_caught_up(self, index: int) -> None:
+    def _record_caught_up(self, index: int) -> None:
         if not self._has_caught_up:
             self._has_caught_up = True
             self.caught_up_index = index
 
     def set_hard_state(self, hard_state: HardState) -> None:
-        """Take a new term or vote, to be made durable before anything is sent."""
+        """Set a new term or vote, which is made durable before any message is sent."""
         self.hard_state = hard_state
         self.output.hard_state = hard_state
 
@@ -154,7 +156,7 @@
         return entry.index
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries in place of whatever stands at their indexes and after."""
+        """Append entries, overwriting everything at and after their first index."""
         if not entries:
             return
         self.persisted_index = min(self.persisted_index, entries[0].index - 1)
@@ -165,40 +167,40 @@
         pending.extend(entries)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Put a leader's snapshot in place of what it covers."""
+        """Replace the entries that a leader's snapshot covers by the snapshot."""
         self.log.compact(snapshot)
         self.commit_index = snapshot.index
-        self._handed_out_index = snapshot.index
+        self._delivered_index = snapshot.index
         self.persisted_index = snapshot.index
         self.output.snapshot = snapshot
         self.output.entries = self.log.entries_from(snapshot.index + 1)
 
     def take_committed(self) -> list[Entry]:
-        """Return the entries that were committed since the last call."""
-        first_index = self._handed_out_index + 1
-        count = self.commit_index - self._handed_out_index
-        self._handed_out_index = self.commit_index
+        """Return the entries that have been committed since the last call."""
+        first_index = self._delivered_index + 1
+        count = self.commit_index - self._delivered_index
+        self._delivered_index = self.commit_index
         return self.log.entries_from(first_index, count)
 
-    # Messages and refusals.
+    # Messages and errors.
 
     def send(self, message: ReplicaMessage) -> None:
-        """Send to a member, at the address that the membership gives it."""
+        """Send a message to its target, at the address given by the membership."""
         member = self.membership.members.get(message.target)
         if member is not None:
-            self.answer(member.address, message)
+            self.send_to_address(member.address, message)
 
-    def answer(self, address: Address, message: ReplicaMessage) -> None:
-        """Send to an address; who asked need not be a member yet."""
-        self.output.outgoing.append(Outgoing(address, message))
+    def send_to_address(self, address: Address, message: ReplicaMessage) -> None:
+        """Send to an address, as the receiver need not be a member yet."""
+        self.output.outgoing.append(OutgoingMessage(address, message))
 
     def require_leader(self) -> None:
-        """Refuse what only a leader may do."""
+        """Raise NOT_LEADER unless this replica is the leader."""
         if not self.is_leader:
-            raise self.not_leader("this replica does not lead")
+            raise self.not_leader_error("this replica is not the leader")
 
-    def not_leader(self, detail: str) -> CinderwayError:
-        """Return a refusal that names the leader, as far as it is known."""
+    def not_leader_error(self, detail: str) -> CinderwayError:
+        """Return a NOT_LEADER error that names the leader if it is known."""
         leader = self.membership.members.get(self.leader_id)
         return CinderwayError(
             ErrorCode.NOT_LEADER,
--- a/src/cinderway/replication/_storage.py
+++ b/src/cinderway/replication/_storage.py
@@ -1,10 +1,11 @@
-"""The one data folder of a replica: identity, snapshot and write-ahead log.
+"""The data folder of a replica: identity, snapshot and write-ahead log.
 
-    identity          made once, with the folder; a replica's id is the folder's id
+    identity          the replica's id, created once together with the folder
     snapshot-N        the state machine as of index N
-    wal-G             hard state and entries since the snapshot that it names
+    wal-G             generation G of the log: the snapshot that it starts from, and the
+                      hard state and entries since then
 
-All calls block; the driver runs them in a worker thread.
+All calls block; the driver runs the writes in a worker thread.
 """
 
 import fcntl
@@ -31,12 +32,12 @@
 IDENTITY_FILE = "identity"
 LOCK_FILE = "lock"
 TEMPORARY_SUFFIX = ".tmp"
-FOUNDING_INDEX = 1
-FOUNDING_TERM = 1
+BOOTSTRAP_INDEX = 1
+BOOTSTRAP_TERM = 1
 
 
 class FolderIdentity(msgspec.Struct, frozen=True):
-    """Whose folder this is."""
+    """The group and replica that a data folder belongs to."""
 
     group: str
     replica_id: ReplicaId
@@ -44,50 +45,50 @@
 
 
 class WalStart(msgspec.Struct, frozen=True, tag=True):
-    """First record of a log file: the snapshot that its entries follow."""
+    """First record of a log file: names the snapshot that its entries follow."""
 
     snapshot_index: int
 
 
 class WalBatch(msgspec.Struct, frozen=True, tag=True):
-    """What one sync made durable; an entry replaces all at its index and after."""
+    """The records of one sync; its entries overwrite those at and after their index."""
 
     hard_state: HardState | None
     entries: list[Entry]
 
 
 @dataclass
-class Recovered:
-    """What the folder held when it was opened."""
+class RecoveredState:
+    """The log and hard state read from the folder when it was opened."""
 
     log: Log
     hard_state: HardState
 
 
 class DataFolder:
-    """Durable records of one replica. Nothing counts as kept before a call returns."""
+    """Durable storage of one replica; data is durable only once a call returns."""
 
     def __init__(self, path: Path, group: str, address: Address):
         path.mkdir(parents=True, exist_ok=True)
         self.path = path
         self._lock = _lock_folder(path)
         self.is_new = not (path / IDENTITY_FILE).exists()
-        self.identity = self._own_identity(group, address)
+        self.identity = self._load_identity(group, address)
         self._generation = 0
         self._wal: int | None = None
         self.wal_bytes = 0
 
     # Opening.
 
-    def recover(self) -> Recovered:
-        """Read everything back; refuse damage, cut a torn tail."""
+    def recover(self) -> RecoveredState:
+        """Read the stored state; truncate a torn tail, and raise an error on damage."""
         if self.is_new:
             self._start_wal(EMPTY_SNAPSHOT.index, HardState(), [])
-            self._keep_identity()
-            return Recovered(Log(EMPTY_SNAPSHOT), HardState())
+            self._write_identity()
+            return RecoveredState(Log(EMPTY_SNAPSHOT), HardState())
         wal_path = self._newest_wal()
         if wal_path is None:
-            raise self._damaged("its write-ahead log is missing")
+            raise self._damaged_error("the write-ahead log is missing")
         recovered = self._read_wal(wal_path)
         self._remove_all_but(wal_path, recovered.log.snapshot.index)
         return recovered
@@ -95,24 +96,24 @@
     def found(self, state: bytes) -> None:
         """Make this folder the first and only voter of a new group.
 
-        `state` is the state machine's first state, in its snapshot's form.
+        `state` is the state machine's initial state, encoded as in a snapshot.
         """
         if not self.is_new:
             raise CinderwayError(
                 ErrorCode.DATA_FOREIGN,
-                f"{self.path} already holds a replica; a group is founded once",
+                f"{self.path} already holds a replica; a new group needs a new folder",
                 step=Step.STORE,
             )
         member = Member(self.identity.address, is_voter=True)
         cluster_id = secrets.randbits(63) | 1
         membership = Membership(cluster_id, {self.identity.replica_id: member})
-        snapshot = Snapshot(FOUNDING_INDEX, FOUNDING_TERM, membership.encode(), state)
-        self.replace(snapshot, HardState(term=FOUNDING_TERM), [])
-        self._keep_identity()
+        snapshot = Snapshot(BOOTSTRAP_INDEX, BOOTSTRAP_TERM, membership.encode(), state)
+        self.replace(snapshot, HardState(term=BOOTSTRAP_TERM), [])
+        self._write_identity()
         self.close()
 
     def close(self) -> None:
-        """Release the folder."""
+        """Close the log file and release the lock on the folder."""
         if self._wal is not None:
             os.close(self._wal)
             self._wal = None
@@ -121,18 +122,18 @@
     # Writing.
 
     def append(self, hard_state: HardState | None, entries: list[Entry]) -> None:
-        """Make one batch durable.
+        """Append one batch to the log and sync it.
 
-        After an OSError nothing of the batch is in the log, and it may be tried again.
+        After an OSError nothing of the batch is in the log, and it may be retried.
         """
         record = frame_record(msgspec.msgpack.encode(WalBatch(hard_state, entries)))
         try:
             _write_all(self._wal, record)
             os.fdatasync(self._wal)
         except OSError:
-            # What follows a half-written record could not be read back. The bytes are
-            # written anew next time: after a failed sync the old ones may be lost
-            # although a second sync would succeed.
+            # Anything after a partially written record could not be read back. A retry
+            # writes the bytes again rather than only syncing: after a failed sync they
+            # may be lost even though a second sync would succeed.
             os.ftruncate(self._wal, self.wal_bytes)
             raise
         self.wal_bytes += len(record)
@@ -140,10 +141,11 @@
     def replace(
         self, snapshot: Snapshot, hard_state: HardState, entries: list[Entry]
     ) -> None:
-        """Put a snapshot, and the entries after it, in place of everything before.
+        """Replace all stored state by a snapshot and the entries after it.
 
-        The snapshot is durable before the log file that needs it appears, and the
-        old files go only after that, so a crash anywhere leaves one whole pair.
+        The snapshot is durable before the log file that refers to it appears, and the
+        old files are removed only after that, so a crash at any point leaves one
+        complete pair.
         """
         content = frame_record(msgspec.msgpack.encode(snapshot))
         self._write_file(self._snapshot_path(snapshot.index), content)
@@ -155,12 +157,12 @@
 
     # Helpers.
 
-    def _own_identity(self, group: str, address: Address) -> FolderIdentity:
+    def _load_identity(self, group: str, address: Address) -> FolderIdentity:
         if self.is_new:
             if self._newest_wal() is not None:
-                raise self._damaged("its identity file is missing")
+                raise self._damaged_error("the identity file is missing")
             return FolderIdentity(group, _new_replica_id(), address)
-        identity = self._read_single(self.path / IDENTITY_FILE, FolderIdentity)
+        identity = self._read_one_record(self.path / IDENTITY_FILE, FolderIdentity)
         if (identity.group, identity.address) != (group, address):
             raise CinderwayError(
                 ErrorCode.DATA_FOREIGN,
@@ -170,9 +172,10 @@
             )
         return identity
 
-    def _keep_identity(self) -> None:
-        # Written last: from here on a missing log is damage, not a new folder. A
-        # replica that lost its log but kept its id could vote twice in one term.
+    def _write_identity(self) -> None:
+        # The identity is written last: once it exists, a missing log means damage
+        # rather than a new folder. A replica that lost its log but kept its id could
+        # vote twice in one term.
         content = frame_record(msgspec.msgpack.encode(self.identity))
         self._write_file(self.path / IDENTITY_FILE, content)
 
@@ -192,12 +195,13 @@
         paths = sorted(self.path.glob("wal-*[0-9]"))
         return paths[-1] if paths else None
 
-    def _read_wal(self, path: Path) -> Recovered:
+    def _read_wal(self, path: Path) -> RecoveredState:
         content = path.read_bytes()
         scanned = scan_records(content, source=str(path))
         if not scanned.payloads:
-            # A log file appears under its name only with its first records synced.
-            raise self._damaged(f"{path.name} has no readable start")
+            # A log file is renamed to its final name only once its first records are
+            # synced, so this cannot be the result of a crash.
+            raise self._damaged_error(f"{path.name} has no readable first record")
         start, *batches = self._decode_records(path, scanned.payloads)
         log = Log(self._read_snapshot(start.snapshot_index))
         hard_state = HardState()
@@ -209,14 +213,14 @@
         os.ftruncate(self._wal, scanned.valid_bytes)
         os.fsync(self._wal)
         self.wal_bytes = scanned.valid_bytes
-        return Recovered(log, hard_state)
+        return RecoveredState(log, hard_state)
 
     def _decode_records(self, path: Path, payloads: list[bytes]) -> list:
         decoder = msgspec.msgpack.Decoder(WalStart | WalBatch)
         records = [decoder.decode(payload) for payload in payloads]
         kinds = [type(record) for record in records]
         if kinds != [WalStart] + [WalBatch] * (len(records) - 1):
-            raise self._damaged(f"{path.name} holds records out of order")
+            raise self._damaged_error(f"{path.name} holds records out of order")
         return records
 
     def _read_snapshot(self, index: int) -> Snapshot:
@@ -224,13 +228,15 @@
             return EMPTY_SNAPSHOT
         path = self._snapshot_path(index)
         if not path.exists():
-            raise self._damaged(f"{path.name} is missing")
-        return self._read_single(path, Snapshot)
+            raise self._damaged_error(f"{path.name} is missing")
+        return self._read_one_record(path, Snapshot)
 
-    def _read_single(self, path: Path, kind: type):
+    def _read_one_record(self, path: Path, kind: type):
         payloads = scan_records(path.read_bytes(), source=str(path)).payloads
         if len(payloads) != 1:
-            raise self._damaged(f"{path.name} is not whole")
+            raise self._damaged_error(
+                f"{path.name} does not hold exactly one complete record"
+            )
         return msgspec.msgpack.decode(payloads[0], type=kind)
 
     def _snapshot_path(self, index: int) -> Path:
@@ -243,7 +249,7 @@
             _write_all(descriptor, content)
             os.fsync(descriptor)
         except OSError:
-            # The room it takes on a full disk is needed more by the log.
+            # On a full disk the log needs this space more.
             temporary.unlink()
             raise
         finally:
@@ -265,14 +271,15 @@
                 if path not in kept:
                     path.unlink()
 
-    def _damaged(self, detail: str) -> CinderwayError:
+    def _damaged_error(self, detail: str) -> CinderwayError:
         return CinderwayError(
             ErrorCode.DATA_DAMAGED, f"{self.path}: {detail}", step=Step.STORE
         )
 
 
 def _new_replica_id() -> ReplicaId:
-    # 63 bits: the id fits a signed integer in every library, and is never 0.
+    # 63 bits fit a signed 64-bit integer in every library. The lowest bit is set, so
+    # that the id is never 0.
     return ReplicaId(secrets.randbits(63) | 1)
 
 
--- a/tests/replication/test_core.py
+++ b/tests/replication/test_core.py
@@ -181,7 +181,7 @@
         if not node.is_up:
             return
         output = node.core.take_output()
-        self.send(node, output.take_early())
+        self.send(node, output.take_early_messages())
         if written and output.has_records:
             node.disk.write(output, node.core.hard_state)
         node.is_up = False
@@ -233,7 +233,7 @@
             if node.core.is_leader:
                 self.next_read += 1
                 try:
-                    node.core.read(self.next_read)
+                    node.core.request_read(self.next_read)
                 except CinderwayError:
                     continue
                 self.reads[self.next_read] = set(self.acknowledged.values())
@@ -249,7 +249,7 @@
     def compact(self, number):
         node = self.nodes[f"a{number}"]
         core = node.core
-        index = core._handed_out_index
+        index = core._delivered_index
         if not node.is_up or index <= core.log.snapshot.index:
             return
         snapshot = Snapshot(
@@ -320,7 +320,7 @@
         leaders = [n for n in self.running() if n.core.is_leader]
         if len(leaders) != 1 or leaders[0].core.membership.voters != ids:
             return False
-        ends = {n.core._handed_out_index for n in self.running()}
+        ends = {n.core._delivered_index for n in self.running()}
         return ends == {leaders[0].core.log.last_index}
 
     def deliver_one(self, sent):
@@ -339,13 +339,13 @@
         """Do what the driver does: write, then send, then apply."""
         while True:
             output = node.core.take_output()
-            self.send(node, output.take_early())
+            self.send(node, output.take_early_messages())
             if output.has_records:
                 last = (node.core.log.last_index, node.core.log.last_term)
                 node.disk.write(output, node.core.hard_state)
                 if output.snapshot is not None:
                     node.applied = _decode(output.snapshot.data)
-                node.core.persisted(*last)
+                node.core.record_persisted(*last)
             self.send(node, output.outgoing)
             for entry in output.committed:
                 self.apply(node, entry)
@@ -396,7 +396,7 @@
                 return True
         return False
 
-    def hear_leader(self, now_ms):
+    def follow_leader(self, now_ms):
         request = AppendRequest(
             sender=2,
             target=1,
@@ -442,14 +442,14 @@
             for replica in replicas.values():
                 replica.tick(now_ms)
                 output = replica.take_output()
-                replica.persisted(replica.log.last_index, replica.log.last_term)
+                replica.record_persisted(replica.log.last_index, replica.log.last_term)
                 on_the_way += [
                     (now_ms + 200, o.address, o.message) for o in output.outgoing
                 ]
         self.assertTrue(any(replica.is_leader for replica in replicas.values()))
 
     def test_once_it_has_heard_a_leader_it_waits_a_whole_timeout(self):
-        self.hear_leader(50)
+        self.follow_leader(50)
         self.assertFalse(self.asks_within(self.TIMING.election_min_ms))
 
 
@@ -542,7 +542,7 @@
         leader = self.leader()
         reply = self.reply_to(leader)
         woken_at_ms = self.cluster.now_ms + TIMING.quorum_silent_ms + 200
-        self.assertFalse(leader.core.leads_at(woken_at_ms))
+        self.assertFalse(leader.core.is_leader_at(woken_at_ms))
         leader.core.step(reply, woken_at_ms)
         self.assertFalse(leader.core.is_leader)
 
--- a/tests/replication/test_node.py
+++ b/tests/replication/test_node.py
@@ -136,19 +136,19 @@
             core = self.node.core
             first = Entry(core.log.last_index + 1, 50, EntryKind.COMMAND, b"1")
             await self.hear(self.message([first], first.index))
-            while self.node.known_at_ms is None:
+            while self.node.up_to_date_at_ms is None:
                 await anyio.sleep(0.01)
-            known_at_ms = self.node.known_at_ms
+            up_to_date_at_ms = self.node.up_to_date_at_ms
             self.folder.works.clear()
             second = Entry(first.index + 1, 50, EntryKind.COMMAND, b"2")
             await self.hear(self.message([second], second.index))
             for _ in range(10):
                 await anyio.sleep(0.02)
                 await self.hear(self.message(committed=second.index))
-            self.assertEqual(self.node.known_at_ms, known_at_ms)
-            self.assertGreater(core.leader_heard_at_ms, known_at_ms)
+            self.assertEqual(self.node.up_to_date_at_ms, up_to_date_at_ms)
+            self.assertGreater(core.leader_heard_at_ms, up_to_date_at_ms)
             self.folder.works.set()
-            while self.node.known_at_ms == known_at_ms:
+            while self.node.up_to_date_at_ms == up_to_date_at_ms:
                 await anyio.sleep(0.01)
                 await self.hear(self.message(committed=second.index))
             self.assertEqual(self.node.applied_index, second.index)
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -50,7 +50,7 @@
     Guard(
         "only a log that is as new gets a vote",
         ELECTIONS,
-        "        if (request.last_term, request.last_index) < own_end:\n"
+        "        if (request.last_term, request.last_index) < own_last:\n"
         "            return False\n",
         "",
         CORE_TESTS,
@@ -66,14 +66,14 @@
     Guard(
         "a replica that hears a leader neither votes nor takes the term",
         ELECTIONS,
-        "if self._hears_leader() and not request.is_transfer:",
+        "if self._has_leader_contact() and not request.is_transfer:",
         "if False:",
         CORE_TESTS,
     ),
     Guard(
         "a leader that hears no quorum steps down",
         CORE,
-        "        if not self._leader_log.hears_quorum():\n"
+        "        if not self._leader_log.has_quorum_contact():\n"
         "            self._become_follower(self.term)\n            return\n",
         "",
         CORE_TESTS,
@@ -117,17 +117,17 @@
     Guard(
         "only a torn tail is cut",
         "replication/_records.py",
-        "    if _record_follows(content, position + 1) or not "
-        "_looks_cut(content, position):",
+        "    if _has_record_after(content, position + 1) or not "
+        "_is_cut_short(content, position):",
         "    if False:",
         "tests.replication.test_storage",
     ),
     Guard(
         "a kept identity with a lost log is refused",
         "replication/_storage.py",
-        '            raise self._damaged("its write-ahead log is missing")\n',
+        '            raise self._damaged_error("the write-ahead log is missing")\n',
         "            self._start_wal(0, HardState(), [])\n"
-        "            return Recovered(Log(EMPTY_SNAPSHOT), HardState())\n",
+        "            return RecoveredState(Log(EMPTY_SNAPSHOT), HardState())\n",
         "tests.replication.test_storage",
     ),
     Guard(
