--- a/tests/replication/test_core.py
+++ b/tests/replication/test_core.py
@@ -1,4 +1,4 @@
-"""A group of replicas under every mix of faults: the state machine drives the core."""
+"""Stateful tests of a replica group under random faults, and focused test cases."""
 
 import random
 import unittest
@@ -33,7 +33,7 @@
 
 
 class Disk:
-    """What one replica has synced; the fake of its data folder."""
+    """A fake data folder: holds what one replica has synced."""
 
     def __init__(self, snapshot=None):
         self.snapshot = snapshot
@@ -58,7 +58,7 @@
 
 
 class Node:
-    """A replica with its disk, its applied commands and the acknowledged reads."""
+    """A replica with its disk and its applied commands."""
 
     def __init__(self, replica_id, address, disk, seed, now_ms):
         self.replica_id = replica_id
@@ -90,10 +90,12 @@
 
 
 class Cluster(RuleBasedStateMachine):
-    """Drop, delay, duplicate, reorder, cut one way, freeze, kill, lose a disk.
+    """Generates faults and checks that no acknowledged command is lost.
 
-    A step of a node is taken apart: its output is written, and only then sent, and
-    a kill may come between any two. What was acknowledged must never be lost.
+    Messages are dropped, delayed, duplicated, reordered, or blocked in one direction
+    between two replicas; nodes are frozen or killed, or lose their disk. A node's
+    output is written first and only then sent, and a kill may come between any two of
+    these steps.
     """
 
     @initialize(seed=st.integers(0, 2**32))
@@ -112,9 +114,9 @@
         self.leaders = {}
         self.lost_disks = 0
         members = {i: Member(f"a{i}", is_voter=True) for i in range(1, SIZE + 1)}
-        founding = Snapshot(1, 1, Membership(7, members).encode(), b"")
+        initial = Snapshot(1, 1, Membership(7, members).encode(), b"")
         self.nodes = {
-            f"a{i}": Node(i, f"a{i}", Disk(founding), seed + i, 0) for i in members
+            f"a{i}": Node(i, f"a{i}", Disk(initial), seed + i, 0) for i in members
         }
         self.settle()
 
@@ -129,7 +131,7 @@
 
     @rule(ms=st.sampled_from([100, 500, 2000]), lost_share=st.sampled_from([0, 0.2]))
     def run_on(self, ms, lost_share):
-        """Let time pass with messages on their way, and commands coming in."""
+        """Let time pass while messages are delivered and commands arrive."""
         for _ in range(ms // 20):
             self.pass_time(20)
             if self.rng.random() < 0.2:
@@ -192,10 +194,10 @@
         if not node.is_up:
             node.start(self.now_ms)
 
-    @precondition(lambda self: self.may_lose_a_disk())
+    @precondition(lambda self: self.can_lose_a_disk())
     @rule(number=st.integers(1, SIZE))
     def lose_disk(self, number):
-        """The instance comes back empty: a new identity at the same address."""
+        """Restart a node with an empty disk: a new replica id at the same address."""
         node = self.nodes[f"a{number}"]
         self.kill(number, written=False)
         self.lost_disks += 1
@@ -263,7 +265,7 @@
 
     @rule()
     def settle(self):
-        """All cuts heal and all replicas run: the group must get on."""
+        """Remove all partitions and run all replicas: the group must make progress."""
         self.cuts.clear()
         for node in self.nodes.values():
             node.is_frozen = False
@@ -279,7 +281,7 @@
                 self.deliver_one(self.messages.pop(0))
             if self.is_settled():
                 break
-        assert self.is_settled(), "the group did not get on"
+        assert self.is_settled(), "the group did not settle"
         leader = next(n for n in self.running() if n.core.is_leader)
         assert set(self.acknowledged.values()) <= set(leader.applied)
 
@@ -302,8 +304,11 @@
     def running(self):
         return [n for n in self.nodes.values() if n.is_up and not n.is_frozen]
 
-    def may_lose_a_disk(self):
-        """Only with every other voter whole: more loses a majority for good."""
+    def can_lose_a_disk(self):
+        """Whether all nodes are voters of a leader's committed membership.
+
+        Losing a disk at any other time could lose a majority permanently.
+        """
         if not hasattr(self, "nodes") or self.lost_disks >= 3:
             return False
         ids = {n.replica_id for n in self.nodes.values()}
@@ -336,7 +341,7 @@
         self.flush(node)
 
     def flush(self, node):
-        """Do what the driver does: write, then send, then apply."""
+        """Process a node's output as the driver does: write, then send, then apply."""
         while True:
             output = node.core.take_output()
             self.send(node, output.take_early_messages())
@@ -370,25 +375,25 @@
 
 
 class ClusterTest(unittest.TestCase):
-    def test_group_keeps_its_promises_under_any_mix_of_faults(self):
+    def test_guarantees_hold_under_any_mix_of_faults(self):
         run_state_machine_as_test(
             Cluster, settings=settings(max_examples=250, stateful_step_count=60)
         )
 
 
 class StartTest(unittest.TestCase):
-    """A replica that has not heard of a leader since its start."""
+    """Elections of a replica that has not heard from a leader since its start."""
 
     TIMING = Timing(startup_min_ms=100, startup_max_ms=300)
 
     def setUp(self):
         members = {i: Member(f"a{i}", is_voter=True) for i in (1, 2, 3)}
-        founding = Snapshot(5, 2, Membership(7, members).encode(), b"")
+        initial = Snapshot(5, 2, Membership(7, members).encode(), b"")
         self.replica = Replica(
-            1, "a1", Log(founding), HardState(2), self.TIMING, random.Random(1), 0
+            1, "a1", Log(initial), HardState(2), self.TIMING, random.Random(1), 0
         )
 
-    def asks_within(self, ms, since_ms=0):
+    def requests_votes_within(self, ms, since_ms=0):
         for now_ms in range(since_ms, since_ms + ms, 10):
             self.replica.tick(now_ms)
             sent = [o.message for o in self.replica.take_output().outgoing]
@@ -396,7 +401,7 @@
                 return True
         return False
 
-    def follow_leader(self, now_ms):
+    def receive_heartbeat(self, now_ms):
         request = AppendRequest(
             sender=2,
             target=1,
@@ -410,16 +415,16 @@
         )
         self.replica.step(request, now_ms)
 
-    def test_it_asks_for_votes_long_before_an_election_timeout(self):
-        self.assertTrue(self.asks_within(310))
+    def test_it_requests_votes_long_before_an_election_timeout(self):
+        self.assertTrue(self.requests_votes_within(310))
 
-    def test_it_asks_again_soon_while_nobody_answers(self):
-        self.assertTrue(self.asks_within(310))
-        self.assertTrue(self.asks_within(310, since_ms=310))
+    def test_it_requests_votes_again_soon_if_nobody_answers(self):
+        self.assertTrue(self.requests_votes_within(310))
+        self.assertTrue(self.requests_votes_within(310, since_ms=310))
 
-    def test_a_group_whose_messages_take_long_still_gets_a_leader(self):
+    def test_a_group_with_slow_messages_still_elects_a_leader(self):
         members = {i: Member(f"a{i}", is_voter=True) for i in (1, 2, 3)}
-        founding = Snapshot(5, 2, Membership(7, members).encode(), b"")
+        initial = Snapshot(5, 2, Membership(7, members).encode(), b"")
         timing = Timing(
             election_min_ms=900,
             election_max_ms=1_500,
@@ -429,38 +434,38 @@
         )
         replicas = {
             f"a{i}": Replica(
-                i, f"a{i}", Log(founding), HardState(2), timing, random.Random(i), 0
+                i, f"a{i}", Log(initial), HardState(2), timing, random.Random(i), 0
             )
             for i in members
         }
-        on_the_way = []
+        in_transit = []
         for now_ms in range(0, 20_000, 20):
-            due = [m for m in on_the_way if m[0] <= now_ms]
-            on_the_way = [m for m in on_the_way if m[0] > now_ms]
+            due = [m for m in in_transit if m[0] <= now_ms]
+            in_transit = [m for m in in_transit if m[0] > now_ms]
             for _, address, message in due:
                 replicas[address].step(message, now_ms)
             for replica in replicas.values():
                 replica.tick(now_ms)
                 output = replica.take_output()
                 replica.record_persisted(replica.log.last_index, replica.log.last_term)
-                on_the_way += [
+                in_transit += [
                     (now_ms + 200, o.address, o.message) for o in output.outgoing
                 ]
         self.assertTrue(any(replica.is_leader for replica in replicas.values()))
 
     def test_once_it_has_heard_a_leader_it_waits_a_whole_timeout(self):
-        self.follow_leader(50)
-        self.assertFalse(self.asks_within(self.TIMING.election_min_ms))
+        self.receive_heartbeat(50)
+        self.assertFalse(self.requests_votes_within(self.TIMING.election_min_ms))
 
 
 class VoteTest(unittest.TestCase):
-    """One replica that is asked for its vote."""
+    """How one replica answers vote requests."""
 
     def setUp(self):
         members = {i: Member(f"a{i}", is_voter=True) for i in (1, 2, 3)}
-        founding = Snapshot(5, 2, Membership(7, members).encode(), b"")
+        initial = Snapshot(5, 2, Membership(7, members).encode(), b"")
         self.replica = Replica(
-            1, "a1", Log(founding), HardState(2), TIMING, random.Random(1), 0
+            1, "a1", Log(initial), HardState(2), TIMING, random.Random(1), 0
         )
 
     def is_granted(self, sender, *, term=3, last=(2, 5), is_pre_vote=False):
@@ -471,7 +476,7 @@
         self.replica.step(request, 0)
         return self.replica.take_output().outgoing[0].message.is_granted
 
-    def test_it_votes_once_a_term(self):
+    def test_it_votes_once_per_term(self):
         self.assertTrue(self.is_granted(2))
         self.assertFalse(self.is_granted(3))
         self.assertTrue(self.is_granted(2))
@@ -493,7 +498,7 @@
 
 
 class ClusterCase(unittest.TestCase):
-    """A settled group and its clock."""
+    """Base of tests that start from a settled group."""
 
     def setUp(self):
         self.cluster = Cluster()
@@ -509,10 +514,10 @@
             self.cluster.deliver(30)
 
 
-class QuorumTest(ClusterCase):
-    """A leader notices soon that it is cut off, by a time of its own."""
+class QuorumContactTest(ClusterCase):
+    """A partitioned leader steps down after `quorum_silent_ms`."""
 
-    def test_it_steps_down_as_soon_as_its_quorum_is_silent_for_long_enough(self):
+    def test_it_steps_down_once_its_quorum_is_silent_for_quorum_silent_ms(self):
         leader = self.leader()
         leader.core.timing = Timing(quorum_silent_ms=200)
         for address in self.cluster.nodes:
@@ -521,16 +526,17 @@
         self.assertFalse(leader.core.is_leader)
 
 
-class StandstillTest(ClusterCase):
-    """A leader that stood still, or was suspended, wakes to words of long before.
+class SuspendedLeaderTest(ClusterCase):
+    """A leader resumes after its process stalled or was suspended.
 
-    They lay in its socket, and are read before any timer fires. Taken for news they
-    make it lead on, and tell entries that what it knows is new, while others have
-    elected another leader and acknowledged changes that it knows nothing of.
+    Old messages wait in its sockets and are read before any timer fires. If it counts
+    them as recent contact, it continues to lead and reports its state to the entries as
+    current, although the others have elected another leader and acknowledged changes
+    that it does not have.
     """
 
     def reply_to(self, leader):
-        """Return an answer to the leader that is still on its way."""
+        """Return a reply to the leader that has not been delivered yet."""
         while True:
             self.cluster.pass_time(20)
             for _, address, message in self.cluster.messages:
@@ -538,15 +544,15 @@
                     return message
             self.cluster.deliver(20)
 
-    def test_it_steps_down_before_it_takes_what_came_meanwhile(self):
+    def test_it_steps_down_before_it_processes_messages_from_the_pause(self):
         leader = self.leader()
         reply = self.reply_to(leader)
-        woken_at_ms = self.cluster.now_ms + TIMING.quorum_silent_ms + 200
-        self.assertFalse(leader.core.is_leader_at(woken_at_ms))
-        leader.core.step(reply, woken_at_ms)
+        resumed_at_ms = self.cluster.now_ms + TIMING.quorum_silent_ms + 200
+        self.assertFalse(leader.core.is_leader_at(resumed_at_ms))
+        leader.core.step(reply, resumed_at_ms)
         self.assertFalse(leader.core.is_leader)
 
-    def test_a_pause_that_nobody_can_have_taken_for_its_end_changes_nothing(self):
+    def test_a_pause_too_short_for_another_election_changes_nothing(self):
         leader = self.leader()
         reply = self.reply_to(leader)
         leader.core.step(reply, self.cluster.now_ms + TIMING.quorum_silent_ms // 2)
@@ -554,11 +560,11 @@
 
 
 class CommitTest(ClusterCase):
-    """Followers know of a commit as soon as the leader, less a message's way.
+    """Followers learn of a commit one message delay after the leader.
 
-    The leader acknowledged a change and lost power within milliseconds. The others held
-    the change, but only its next heartbeat would have told them that it was committed:
-    they could show it to nobody before they had elected another leader.
+    This guards against a leader that acknowledges a change and loses power within
+    milliseconds. If only its next heartbeat carried the new commit index, the followers
+    would hold the change but could not serve it before they had elected another leader.
     """
 
     def test_followers_apply_a_command_without_any_time_passing(self):
@@ -569,35 +575,35 @@
         self.assertEqual(applied, [[b"1"]] * 3)
 
 
-class CutsTest(ClusterCase):
-    """Focused cases of what the state machine covers at random."""
+class PartitionTest(ClusterCase):
+    """Specific cases of the faults that the stateful test generates at random."""
 
-    def test_leader_that_hears_nobody_steps_down(self):
+    def test_leader_that_receives_no_messages_steps_down(self):
         leader = self.leader()
         for address in self.cluster.nodes:
             self.cluster.cuts.add((address, leader.address))
         self.run_for(1200)
         self.assertFalse(leader.core.is_leader)
 
-    def test_replica_that_hears_nobody_does_not_unseat_the_leader(self):
+    def test_replica_that_receives_no_messages_does_not_depose_the_leader(self):
         leader = self.leader()
         term = leader.core.term
-        deaf = next(n for n in self.cluster.nodes.values() if n is not leader)
+        unreachable = next(n for n in self.cluster.nodes.values() if n is not leader)
         for address in self.cluster.nodes:
-            self.cluster.cuts.add((address, deaf.address))
+            self.cluster.cuts.add((address, unreachable.address))
         self.run_for(4000)
         self.assertTrue(leader.core.is_leader)
         self.assertEqual(leader.core.term, term)
 
-    def test_replica_cut_off_in_silence_is_named_by_the_leader(self):
+    def test_leader_lists_a_replica_whose_messages_are_lost_as_silent(self):
         leader = self.leader()
-        mute = next(n for n in self.cluster.nodes.values() if n is not leader)
+        unheard = next(n for n in self.cluster.nodes.values() if n is not leader)
         for address in self.cluster.nodes:
-            self.cluster.cuts.add((mute.address, address))
+            self.cluster.cuts.add((unheard.address, address))
         self.run_for(1200)
-        self.assertEqual(leader.core.silent_members(), [mute.replica_id])
+        self.assertEqual(leader.core.silent_members(), [unheard.replica_id])
 
-    def test_lost_disk_replica_never_votes(self):
+    def test_replica_that_lost_its_disk_gets_a_new_id_before_it_votes(self):
         leader = self.leader()
         lost = next(n for n in self.cluster.nodes.values() if n is not leader)
         old_id = lost.replica_id
@@ -609,7 +615,7 @@
         self.assertIn(lost.replica_id, self.leader().core.membership.voters)
         self.assertNotIn(old_id, self.leader().core.membership.members)
 
-    def test_second_loss_right_after_a_repair_loses_nothing(self):
+    def test_a_disk_loss_right_after_a_repair_loses_no_command(self):
         cluster = self.cluster
         cluster.propose()
         for number in (1, 2, 3):
@@ -622,7 +628,7 @@
 
 
 class CaughtUpTest(ClusterCase):
-    """A replica says that it knows all that was acknowledged only when it does."""
+    """`has_caught_up` is true only if a replica has all acknowledged commands."""
 
     def restart_all(self):
         for number in (1, 2, 3):
@@ -630,7 +636,7 @@
         for number in (1, 2, 3):
             self.cluster.restart(number)
 
-    def test_after_a_restart_of_all_nobody_has_caught_up_before_the_next_leader(self):
+    def test_after_a_full_restart_no_replica_has_caught_up_before_an_election(self):
         self.restart_all()
         nodes = self.cluster.running()
         self.assertFalse(any(node.core.has_caught_up for node in nodes))
@@ -638,7 +644,7 @@
         self.run_for(400)
         self.assertTrue(all(node.core.has_caught_up for node in nodes))
 
-    def test_one_that_has_caught_up_holds_every_acknowledged_command(self):
+    def test_a_replica_that_has_caught_up_has_every_acknowledged_command(self):
         for _ in range(5):
             self.cluster.propose()
             self.cluster.settle()
@@ -654,55 +660,55 @@
 
 
 class ReplacementTest(ClusterCase):
-    """A replica at a new address takes the place of one that is gone for good."""
+    """A replica at a new address replaces one that is permanently gone."""
 
     def setUp(self):
         super().setUp()
         self.gone = next(
             n for n in self.cluster.nodes.values() if n is not self.leader()
         )
-        self.want(3)
+        self.set_wanted_voters(3)
 
-    def want(self, voters):
+    def set_wanted_voters(self, voters):
         for node in self.cluster.nodes.values():
             node.core._wanted_voters = voters
 
-    def add_newcomer(self, asked):
-        """Start a replica with an empty disk that asks one replica to be taken in."""
-        newcomer = Node(99, "a9", Disk(), 9, self.cluster.now_ms)
-        self.cluster.nodes["a9"] = newcomer
+    def add_joining_node(self, contact):
+        """Start a replica with an empty disk that asks `contact` to let it join."""
+        joining = Node(99, "a9", Disk(), 9, self.cluster.now_ms)
+        self.cluster.nodes["a9"] = joining
         request = JoinRequest(99, 0, "a9", 0)
-        self.cluster.messages.append(("a9", asked.address, request))
-        return newcomer
+        self.cluster.messages.append(("a9", contact.address, request))
+        return joining
 
     def voters(self):
         return self.leader().core.membership.voters
 
-    def test_a_follower_passes_a_newcomers_request_on(self):
+    def test_a_follower_forwards_a_join_request_to_the_leader(self):
         follower = next(
             n for n in self.cluster.nodes.values() if n is not self.leader()
         )
-        self.add_newcomer(follower)
+        self.add_joining_node(follower)
         self.run_for(1000)
         self.assertIn(99, self.voters())
 
-    def test_a_silent_voter_that_nobody_replaced_keeps_its_vote(self):
+    def test_a_silent_voter_that_is_not_replaced_keeps_its_vote(self):
         self.gone.is_up = False
         self.run_for(TIMING.replace_silent_ms + 1000)
         self.assertIn(self.gone.replica_id, self.voters())
 
-    def test_a_silent_voter_leaves_once_another_took_its_place(self):
+    def test_a_silent_voter_is_removed_once_it_is_replaced(self):
         self.gone.is_up = False
-        self.add_newcomer(self.leader())
+        self.add_joining_node(self.leader())
         self.run_for(1000)
         self.assertEqual(len(self.voters()), 4)
         self.run_for(TIMING.replace_silent_ms + 1000)
         self.assertNotIn(self.gone.replica_id, self.voters())
         self.assertIn(99, self.voters())
 
-    def test_nobody_leaves_where_no_number_is_wanted(self):
-        self.want(0)
+    def test_no_voter_is_removed_if_no_number_of_voters_is_configured(self):
+        self.set_wanted_voters(0)
         self.gone.is_up = False
-        self.add_newcomer(self.leader())
+        self.add_joining_node(self.leader())
         self.run_for(TIMING.replace_silent_ms + 2000)
         self.assertEqual(len(self.voters()), 4)
--- a/tests/replication/test_node.py
+++ b/tests/replication/test_node.py
@@ -1,4 +1,4 @@
-"""One replica around its disk, with a state machine that notes what it applies."""
+"""One replica with a failing or stalling disk and a recording state machine."""
 
 import tempfile
 import threading
@@ -16,8 +16,8 @@
 ADDRESS = Address("127.0.0.1:7000")
 
 
-class Notes:
-    """Applies commands by keeping them."""
+class RecordingStateMachine:
+    """A state machine that records the commands it applies."""
 
     def __init__(self):
         self.commands = []
@@ -32,65 +32,66 @@
         pass
 
 
-class RefusingFolder(DataFolder):
-    """A data folder whose disk refuses a number of writes."""
+class FailingFolder(DataFolder):
+    """A data folder whose next `remaining_failures` writes fail."""
 
-    refusals = 0
+    remaining_failures = 0
 
     def append(self, hard_state, entries):
-        if self.refusals:
-            self.refusals -= 1
+        if self.remaining_failures:
+            self.remaining_failures -= 1
             raise OSError("No space left on device")
         super().append(hard_state, entries)
 
 
-class DiskTests(unittest.TestCase):
+class FailedWriteTests(unittest.TestCase):
     def setUp(self):
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         path = Path(temporary.name) / "data"
         DataFolder(path, "notes", ADDRESS).found(b"")
-        self.folder = RefusingFolder(path, "notes", ADDRESS)
-        self.notes = Notes()
+        self.folder = FailingFolder(path, "notes", ADDRESS)
+        self.state_machine = RecordingStateMachine()
         settings = NodeSettings(ADDRESS, ())
         identity = Identity("notes", b"a-key-for-tests-only")
-        self.node = Node(self.folder, self.notes, settings, identity)
+        self.node = Node(self.folder, self.state_machine, settings, identity)
 
-    def test_a_command_is_taken_once_the_disk_takes_writes_again(self):
+    def test_a_command_is_applied_once_disk_writes_succeed_again(self):
         async def run():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.node.run)
                 while not self.node.core.is_leader:
                     await anyio.sleep(0.02)
-                self.folder.refusals = 3
+                self.folder.remaining_failures = 3
                 await self.node.propose(b"x", 20.0)
                 tasks.cancel_scope.cancel()
 
         with self.assertLogs("cinderway", "ERROR") as logs:
             anyio.run(run)
-        self.assertEqual(self.notes.commands, [b"x"])
+        self.assertEqual(self.state_machine.commands, [b"x"])
         self.assertEqual(len(logs.output), 1)
 
 
 class StallingFolder(DataFolder):
-    """A data folder whose disk answers nothing while it stalls."""
+    """A data folder whose writes block while the disk stalls."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.works = threading.Event()
-        self.works.set()
+        self.is_writable = threading.Event()
+        self.is_writable.set()
 
     def append(self, hard_state, entries):
-        self.works.wait()
+        self.is_writable.wait()
         super().append(hard_state, entries)
 
 
 class StalledDiskTests(unittest.TestCase):
-    """A replica hears its leader and applies nothing: its disk stalls.
+    """A replica whose disk stalls hears its leader but applies nothing.
 
-    Its heartbeats said how long ago it had heard a leader, 0.25 s at most, and entries
-    took that for the age of what it told them: a change that was acknowledged by the
-    others was not in force at its entries for as long as the disk stalled.
+    This guards against a replica that reports the time since it last heard a leader
+    (0.25 s at most) as the age of its state. Its entries would take that state for
+    current, and a change acknowledged by the other replicas would not take effect at
+    them for as long as the disk stalls.
     """
 
     def setUp(self):
@@ -99,14 +100,17 @@
         path = Path(temporary.name) / "data"
         DataFolder(path, "notes", ADDRESS).found(b"")
         self.folder = StallingFolder(path, "notes", ADDRESS)
-        self.addCleanup(self.folder.works.set)
+        self.addCleanup(self.folder.is_writable.set)
         settings = NodeSettings(ADDRESS, ())
         self.node = Node(
-            self.folder, Notes(), settings, Identity("notes", b"a-key-for-tests-only")
+            self.folder,
+            RecordingStateMachine(),
+            settings,
+            Identity("notes", b"a-key-for-tests-only"),
         )
 
-    def message(self, entries=(), committed=0):
-        """Another leader's message, which follows on what is held here."""
+    def append_request(self, entries=(), committed=0):
+        """Return an append request from another leader that continues the own log."""
         log = self.node.core.log
         return AppendRequest(
             sender=ReplicaId(99),
@@ -120,41 +124,41 @@
             sender_address=Address("127.0.0.1:1"),
         )
 
-    async def hear(self, message):
-        self.node.core.step(message, monotonic_ms())
+    async def receive(self, append_request):
+        self.node.core.step(append_request, monotonic_ms())
         self.node._wake.set()
 
     async def run_with(self, scenario):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.node.run)
             await scenario()
-            self.folder.works.set()
+            self.folder.is_writable.set()
             tasks.cancel_scope.cancel()
 
-    def test_what_is_known_grows_old_while_the_disk_stalls(self):
+    def test_up_to_date_time_does_not_advance_while_the_disk_stalls(self):
         async def scenario():
             core = self.node.core
             first = Entry(core.log.last_index + 1, 50, EntryKind.COMMAND, b"1")
-            await self.hear(self.message([first], first.index))
+            await self.receive(self.append_request([first], first.index))
             while self.node.up_to_date_at_ms is None:
                 await anyio.sleep(0.01)
             up_to_date_at_ms = self.node.up_to_date_at_ms
-            self.folder.works.clear()
+            self.folder.is_writable.clear()
             second = Entry(first.index + 1, 50, EntryKind.COMMAND, b"2")
-            await self.hear(self.message([second], second.index))
+            await self.receive(self.append_request([second], second.index))
             for _ in range(10):
                 await anyio.sleep(0.02)
-                await self.hear(self.message(committed=second.index))
+                await self.receive(self.append_request(committed=second.index))
             self.assertEqual(self.node.up_to_date_at_ms, up_to_date_at_ms)
             self.assertGreater(core.leader_heard_at_ms, up_to_date_at_ms)
-            self.folder.works.set()
+            self.folder.is_writable.set()
             while self.node.up_to_date_at_ms == up_to_date_at_ms:
                 await anyio.sleep(0.01)
-                await self.hear(self.message(committed=second.index))
+                await self.receive(self.append_request(committed=second.index))
             self.assertEqual(self.node.applied_index, second.index)
 
         anyio.run(self.run_with, scenario)
 
-    def test_until_a_leader_was_heard_the_age_is_not_known(self):
+    def test_age_is_unknown_before_a_leader_was_heard(self):
         self.assertIsNone(self.node.knowledge_age_ms(monotonic_ms()))
         self.assertFalse(self.node.has_caught_up)
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder under crashes, damage and mix-ups, with real files."""
+"""The data folder after crashes, damage and wrong use, with real files."""
 
 import errno
 import os
@@ -29,17 +29,17 @@
 
 
 class FullDisk:
-    """A disk that takes a number of bytes and then refuses, until it is emptied."""
+    """A fake `os.write` with room for a number of bytes; then it raises ENOSPC."""
 
-    def __init__(self, room_bytes):
-        self.room_bytes = room_bytes
+    def __init__(self, free_bytes):
+        self.free_bytes = free_bytes
         self._write = os.write
 
     def write(self, descriptor, data):
-        if not self.room_bytes:
+        if not self.free_bytes:
             raise OSError(errno.ENOSPC, "No space left on device")
-        written = self._write(descriptor, bytes(data[: self.room_bytes]))
-        self.room_bytes -= written
+        written = self._write(descriptor, bytes(data[: self.free_bytes]))
+        self.free_bytes -= written
         return written
 
 
@@ -62,12 +62,12 @@
             recover(path or self.path)
         self.assertIs(caught.exception.code, code)
 
-    def test_a_batch_that_a_full_disk_cut_is_not_there_and_can_be_tried_again(self):
+    def test_a_batch_cut_short_by_a_full_disk_is_absent_and_can_be_retried(self):
         folder = DataFolder(self.path, "control", ADDRESS)
         folder.recover()
         folder.append(HardState(3, 9), [entry(1)])
-        for room_bytes in (0, 1, 20):
-            disk = FullDisk(room_bytes)
+        for free_bytes in (0, 1, 20):
+            disk = FullDisk(free_bytes)
             with mock.patch("os.write", disk.write), self.assertRaises(OSError):
                 folder.append(None, [entry(2, data=b"x" * 100)])
         folder.append(None, [entry(2, data=b"y")])
@@ -76,7 +76,7 @@
         self.assertEqual(recovered.log.last_index, 2)
         self.assertEqual(recovered.log.entries_from(2)[0].data, b"y")
 
-    def test_a_snapshot_that_a_full_disk_cut_leaves_the_old_state(self):
+    def test_a_snapshot_cut_short_by_a_full_disk_leaves_the_old_state(self):
         folder = DataFolder(self.path, "control", ADDRESS)
         folder.recover()
         folder.append(HardState(3, 9), [entry(1), entry(2)])
@@ -88,7 +88,7 @@
         folder.close()
         self.assertEqual(recover(self.path).log.last_index, 3)
 
-    def test_everything_synced_is_read_back(self):
+    def test_all_synced_batches_are_read_back(self):
         self.write((HardState(3, 9), [entry(1), entry(2)]), (None, [entry(2, 3)]))
         recovered = recover(self.path)
         self.assertEqual(recovered.hard_state, HardState(3, 9))
@@ -96,14 +96,14 @@
 
     @settings(max_examples=60)
     @given(cut=st.integers(1, 120))
-    def test_torn_tail_is_cut(self, cut):
+    def test_torn_tail_is_truncated(self, cut):
         with tempfile.TemporaryDirectory() as name:
             self.path = Path(name) / "data"
             wal = self.write((HardState(1), [entry(1)]))
-            whole = wal.stat().st_size
+            complete_bytes = wal.stat().st_size
             self.write((None, [entry(2, data=b"y" * 100)]))
             content = wal.read_bytes()
-            cut = min(cut, len(content) - whole)
+            cut = min(cut, len(content) - complete_bytes)
             wal.write_bytes(content[:-cut])
             recovered = recover(self.path)
             self.assertEqual(recovered.log.last_index, 1)
@@ -114,14 +114,14 @@
         with tempfile.TemporaryDirectory() as name:
             self.path = Path(name) / "data"
             wal = self.write((HardState(1), [entry(1)]))
-            damaged_part = wal.stat().st_size
+            first_batch_end = wal.stat().st_size
             self.write((None, [entry(2)]))
             content = bytearray(wal.read_bytes())
-            content[int(position * damaged_part)] ^= flip
+            content[int(position * first_batch_end)] ^= flip
             wal.write_bytes(bytes(content))
             self.assert_refused(ErrorCode.DATA_DAMAGED)
 
-    def test_damage_of_a_whole_last_record_is_refused(self):
+    def test_damage_to_a_complete_last_record_is_refused(self):
         wal = self.write((HardState(1), [entry(1, data=b"paid" * 200)]))
         content = bytearray(wal.read_bytes())
         content[-50] ^= 1
@@ -147,7 +147,7 @@
             DataFolder(self.path, "control", ADDRESS)
         self.assertIs(caught.exception.code, ErrorCode.DATA_FOREIGN)
 
-    def test_lost_log_with_kept_identity_is_refused(self):
+    def test_missing_log_with_existing_identity_is_refused(self):
         self.write((HardState(1), [entry(1)])).unlink()
         self.assert_refused(ErrorCode.DATA_DAMAGED)
 
@@ -170,7 +170,7 @@
         self.addCleanup(after.close)
         self.assertNotEqual(after.identity.replica_id, old_id)
 
-    def test_group_is_founded_only_once(self):
+    def test_group_is_created_only_once(self):
         DataFolder(self.path, "control", ADDRESS).found(b"")
         folder = DataFolder(self.path, "control", ADDRESS)
         self.addCleanup(folder.close)
