--- a/src/cinderway/replication/_node.py
+++ b/src/cinderway/replication/_node.py
@@ -1,4 +1,4 @@
-"""Runs one replica: connects the I/O-free core to disk, network, clock and commands."""
+"""Runs one replica: connects the core to disk, network, clock and state machine."""
 
 import logging
 import random
--- a/src/cinderway/replication/_reads.py
+++ b/src/cinderway/replication/_reads.py
@@ -2,7 +2,7 @@
 
 A leader confirms a read once a quorum has answered a round of messages that was sent
 after the read was requested: this proves that no other leader had committed anything
-when the read was requested.
+newer when the read was requested.
 """
 
 from cinderway._ids import ReplicaId
--- a/tests/replication/test_core.py
+++ b/tests/replication/test_core.py
@@ -517,7 +517,7 @@
 class QuorumContactTest(ClusterCase):
     """A partitioned leader steps down after `quorum_silent_ms`."""
 
-    def test_it_steps_down_once_its_quorum_is_silent_for_quorum_silent_ms(self):
+    def test_it_steps_down_once_its_quorum_is_silent_for_too_long(self):
         leader = self.leader()
         leader.core.timing = Timing(quorum_silent_ms=200)
         for address in self.cluster.nodes:
