--- a/src/cinderway/_cli/_accounts.py
+++ b/src/cinderway/_cli/_accounts.py
@@ -1,11 +1,11 @@
-"""`cinderway accounts`: client accounts, what they may send and what they use."""
+"""`cinderway accounts`: the limits of client accounts and their use."""
 
 from collections.abc import Iterable
 
 import msgspec
 
 from cinderway._cli._options import exit_on_error
-from cinderway._cli._replica_http import Replicas, read_from
+from cinderway._cli._replica_http import Replicas, get_from_replica
 from cinderway.catalog import ACCOUNTS_PATH, AccountUse
 
 HEADER = ("account", "keys", "priority", "rate/s", "burst", "charged", "share", "loans")
@@ -14,18 +14,19 @@
 
 
 def accounts(replicas: Replicas) -> None:
-    """List client accounts, without their keys; uses are sums over the replicas."""
+    """List client accounts without their keys, with their use at all given replicas."""
     with exit_on_error():
         listed = [
-            _decoder.decode(read_from(replica, ACCOUNTS_PATH)) for replica in replicas
+            _decoder.decode(get_from_replica(replica, ACCOUNTS_PATH))
+            for replica in replicas
         ]
         print("\t".join(HEADER))
-        for line in sum_of_uses(listed):
-            print("\t".join(_texts_of(line)))
+        for line in sum_uses(listed):
+            print("\t".join(_format_row(line)))
 
 
-def sum_of_uses(listed: Iterable[list[AccountUse]]) -> list[AccountUse]:
-    """Return each account once, with its uses at all replicas added up."""
+def sum_uses(listed: Iterable[list[AccountUse]]) -> list[AccountUse]:
+    """Return each account once, with the sum of its uses at all replicas."""
     found: dict[str, AccountUse] = {}
     for use in (use for uses in listed for use in uses):
         known = found.get(use.name)
@@ -42,7 +43,7 @@
     return list(found.values())
 
 
-def _texts_of(use: AccountUse) -> list[str]:
+def _format_row(use: AccountUse) -> list[str]:
     values = (
         use.name,
         use.key_count,
--- a/src/cinderway/_cli/_claims.py
+++ b/src/cinderway/_cli/_claims.py
@@ -1,11 +1,11 @@
-"""`cinderway claims`: list and settle run-once requests in doubt."""
+"""`cinderway claims`: list and settle run-once requests with an unknown outcome."""
 
 from enum import Enum
 from typing import Annotated
 
 import typer
 
-from cinderway._cli._operator import ask_ledger
+from cinderway._cli._operator import call_ledger
 from cinderway._cli._options import with_settings
 from cinderway._settings import OperatorSettings
 from cinderway.ledger import ClaimName, Resolution, Settle
@@ -13,25 +13,28 @@
 LIST_LIMIT = 1000
 
 claims = typer.Typer(
-    help="Run-once requests whose outcome is not known.", no_args_is_help=True
+    help="Run-once requests whose outcome is unknown.", no_args_is_help=True
 )
 
 
-class Settled(Enum):
-    """What an operator found out about a request in doubt."""
+class SettledOutcome(Enum):
+    """The outcome of a request in doubt, as an operator found out."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
 
 
-RESOLUTIONS = {Settled.RAN: Resolution.RAN, Settled.NOT_RUN: Resolution.NOT_RUN}
+RESOLUTIONS = {
+    SettledOutcome.RAN: Resolution.RAN,
+    SettledOutcome.NOT_RUN: Resolution.NOT_RUN,
+}
 
 
 @claims.command("list")
 @with_settings(OperatorSettings)
 def list_claims(settings: OperatorSettings) -> None:
-    """Print the claims in doubt, oldest first."""
-    found = ask_ledger(settings, lambda ledger, at: ledger.in_doubt(LIST_LIMIT, at))
+    """Print the claims whose outcome is unknown, oldest first."""
+    found = call_ledger(settings, lambda ledger, at: ledger.in_doubt(LIST_LIMIT, at))
     for record in found:
         name = record.name
         print(
@@ -48,9 +51,11 @@
     service: Annotated[str, typer.Argument(help="As `claims list` prints it.")],
     caller: Annotated[str, typer.Argument(help="As `claims list` prints it.")],
     key: Annotated[str, typer.Argument(help="As `claims list` prints it.")],
-    outcome: Annotated[Settled, typer.Argument(help="not-run lets it run again.")],
+    outcome: Annotated[
+        SettledOutcome, typer.Argument(help="After not-run, the request may run again.")
+    ],
 ) -> None:
-    """Record what a look at the backend server's own books has shown."""
+    """Record the outcome that the backend server's own records show."""
     request = Settle(ClaimName(service, caller, key), RESOLUTIONS[outcome])
-    ask_ledger(settings, lambda ledger, at: ledger.settle(request, at))
+    call_ledger(settings, lambda ledger, at: ledger.settle(request, at))
     print(f"settled as {outcome.value}")
--- a/src/cinderway/_cli/_main.py
+++ b/src/cinderway/_cli/_main.py
@@ -1,4 +1,4 @@
-"""All commands."""
+"""The root command with all subcommands."""
 
 from pathlib import Path
 from typing import Annotated
@@ -24,7 +24,7 @@
 )
 
 app = typer.Typer(
-    help="A proxy fleet for backend servers whose failures are gray.",
+    help="A fleet of proxies for backend servers with gray failures.",
     no_args_is_help=True,
     add_completion=False,
     pretty_exceptions_enable=False,
@@ -37,14 +37,14 @@
 app.command()(accounts)
 app.command()(servers)
 
-Folder = Annotated[Path, typer.Option(help="The new replica's data folder.")]
-Listen = Annotated[str, typer.Option(help="The new replica's IP-number:port.")]
+Folder = Annotated[Path, typer.Option(help="The first replica's data folder.")]
+Listen = Annotated[str, typer.Option(help="The first replica's IP-number:port.")]
 
 
 @app.command()
 @with_settings(EntrySettings)
 def entry(settings: EntrySettings) -> None:
-    """Run an entry: it serves callers."""
+    """Run an entry, which routes callers' requests by the service table."""
     from cinderway.entry import run_entry
 
     run_daemon(run_entry, settings)
@@ -53,7 +53,7 @@
 @app.command()
 @with_settings(ReplicaSettings)
 def control(settings: ReplicaSettings) -> None:
-    """Run a control replica: it keeps the table."""
+    """Run a control replica that stores the service table."""
     from cinderway.control import run_control
 
     run_daemon(run_control, settings)
@@ -62,7 +62,7 @@
 @app.command()
 @with_settings(CatalogEntrySettings)
 def catalog_entry(settings: CatalogEntrySettings) -> None:
-    """Run an entry that serves callers by the service catalog."""
+    """Run an entry, which routes callers' requests by the service catalog."""
     from cinderway.entry import run_catalog_entry
 
     run_daemon(run_catalog_entry, settings)
@@ -71,7 +71,7 @@
 @app.command()
 @with_settings(CatalogControlSettings)
 def catalog_control(settings: CatalogControlSettings) -> None:
-    """Run a control replica that keeps the service catalog."""
+    """Run a control replica that stores the service catalog."""
     from cinderway.control import run_catalog_control
 
     run_daemon(run_catalog_control, settings)
@@ -80,7 +80,7 @@
 @app.command()
 @with_settings(ReplicaSettings)
 def ledger(settings: ReplicaSettings) -> None:
-    """Run a ledger replica: it keeps the outcomes of run-once requests."""
+    """Run a ledger replica, which stores the outcomes of run-once requests."""
     from cinderway.ledger import run_ledger
 
     run_daemon(run_ledger, settings)
@@ -94,24 +94,30 @@
         int,
         typer.Option(
             min=0,
-            help="Revision to go on from: above what any entry has in force.",
+            help="Initial revision; must be above the revision of every entry.",
         ),
     ] = 0,
 ) -> None:
-    """Make a folder the first replica of a new control group. Once a group."""
-    from cinderway.control import found_control as found
+    """Bootstrap a control group: initialize its first replica's data folder.
+
+    To be run once per group, for one replica only.
+    """
+    from cinderway.control import found_control as bootstrap
 
     with exit_on_error():
-        found(data_folder, Address(listen), first_revision)
+        bootstrap(data_folder, Address(listen), first_revision)
 
 
 @app.command()
 def found_ledger(data_folder: Folder, listen: Listen) -> None:
-    """Make a folder the first replica of a new ledger group. Once a group."""
-    from cinderway.ledger import found_ledger as found
+    """Bootstrap a ledger group: initialize its first replica's data folder.
+
+    To be run once per group, for one replica only.
+    """
+    from cinderway.ledger import found_ledger as bootstrap
 
     with exit_on_error():
-        found(data_folder, Address(listen))
+        bootstrap(data_folder, Address(listen))
 
 
 @app.command()
--- a/src/cinderway/_cli/_operator.py
+++ b/src/cinderway/_cli/_operator.py
@@ -1,4 +1,4 @@
-"""Run one operator's request against the control or ledger group."""
+"""Send one request of an operator to the control or ledger group."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -17,8 +17,8 @@
 REQUEST_TIMEOUT_MS = 10_000
 
 
-def ask_control(settings: OperatorSettings, request: Message) -> Message:
-    """Return the control leader's answer."""
+def call_control(settings: OperatorSettings, request: Message) -> Message:
+    """Send a request to the leader of the control group and return its answer."""
 
     async def ask(tasks: TaskGroup) -> Message:
         client = GroupClient(settings.control, TABLE, _identity(settings), tasks)
@@ -27,10 +27,10 @@
     return _run(ask)
 
 
-def ask_ledger(
+def call_ledger(
     settings: OperatorSettings, ask: Callable[[LedgerClient, int], Awaitable[Any]]
 ) -> Any:
-    """Return what `ask` gets from the ledger; it is given a client and a deadline."""
+    """Call `ask` with a ledger client and a deadline, and return its result."""
 
     async def ask_with(tasks: TaskGroup) -> Any:
         client = LedgerClient(settings.ledger, _identity(settings), tasks)
--- a/src/cinderway/_cli/_options.py
+++ b/src/cinderway/_cli/_options.py
@@ -1,4 +1,4 @@
-"""Make typer commands from settings classes, so that nothing is declared twice."""
+"""Build typer options from settings classes, so that no setting is declared twice."""
 
 import functools
 import inspect
@@ -9,34 +9,38 @@
 import typer
 
 from cinderway._errors import CinderwayError
-from cinderway._launch import exit_code_of
+from cinderway._launch import get_exit_code
 from cinderway._settings import (
     REQUIRED,
     environment_variable_of,
-    flag_of,
+    get_flag,
     parse_settings,
     settings_of,
     with_settings_file,
 )
 
 
-def with_settings(kind: type) -> Callable[[Callable], Callable]:
-    """Turn `f(settings, …)` into a command that takes the settings as flags too.
+def with_settings(settings_class: type) -> Callable[[Callable], Callable]:
+    """Turn `f(settings, …)` into a command with a flag for each of the settings.
 
-    A CinderwayError ends the command with one line and an exit code: 2 for input
-    that is wrong, 1 for everything else.
+    A CinderwayError ends the command with one line on standard error and an exit code:
+    2 for invalid input, 1 for every other error.
     """
 
     def decorate(function: Callable) -> Callable:
         @functools.wraps(function)
         def command(**given: Any) -> None:
-            texts = {name: given.pop(name) for name in settings_of(kind)}
+            texts = {name: given.pop(name) for name in settings_of(settings_class)}
             with exit_on_error():
-                function(parse_settings(kind, with_settings_file(texts)), **given)
+                function(
+                    parse_settings(settings_class, with_settings_file(texts)), **given
+                )
 
-        own = list(inspect.signature(function).parameters.values())[1:]
-        own = [p.replace(kind=inspect.Parameter.KEYWORD_ONLY) for p in own]
-        parameters = own + _parameters_of(kind)
+        own_parameters = list(inspect.signature(function).parameters.values())[1:]
+        own_parameters = [
+            p.replace(kind=inspect.Parameter.KEYWORD_ONLY) for p in own_parameters
+        ]
+        parameters = own_parameters + _build_parameters(settings_class)
         command.__signature__ = inspect.Signature(parameters)
         command.__annotations__ = {p.name: p.annotation for p in parameters}
         return command
@@ -45,7 +49,7 @@
 
 
 class exit_on_error:
-    """Print a CinderwayError as one line and exit."""
+    """Context manager that prints a CinderwayError as one line and exits."""
 
     def __enter__(self) -> None:
         return None
@@ -54,17 +58,17 @@
         if not isinstance(error, CinderwayError):
             return
         print(f"cinderway: {error}", file=sys.stderr)
-        raise typer.Exit(exit_code_of(error))
+        raise typer.Exit(get_exit_code(error))
 
 
-def _parameters_of(kind: type) -> list[inspect.Parameter]:
+def _build_parameters(settings_class: type) -> list[inspect.Parameter]:
     parameters = []
-    for name, declared in settings_of(kind).items():
-        shown = "required" if declared.default is REQUIRED else declared.default
+    for name, declared in settings_of(settings_class).items():
+        default = "required" if declared.default is REQUIRED else declared.default
         option = typer.Option(
-            flag_of(name),
+            get_flag(name),
             envvar=environment_variable_of(name),
-            help=f"{declared.help} [{declared.allowed}; default: {shown or 'none'}]",
+            help=f"{declared.help} [{declared.allowed}; default: {default or 'none'}]",
             show_default=False,
         )
         parameters.append(
--- a/src/cinderway/_cli/_replica_http.py
+++ b/src/cinderway/_cli/_replica_http.py
@@ -1,4 +1,4 @@
-"""Ask one control replica's HTTP interface for what it lists."""
+"""Requests to the HTTP interface of a control replica."""
 
 from typing import Annotated
 
@@ -15,13 +15,17 @@
 ]
 
 
-def read_from(replica: str, path: str) -> bytes:
-    """Return what a replica lists; raises CinderwayError if it does not."""
+def get_from_replica(replica: str, path: str) -> bytes:
+    """Send a GET request to a replica and return the body of its answer."""
     return call_replica("GET", replica, path)
 
 
 def call_replica(method: str, replica: str, path: str) -> bytes:
-    """Return a replica's answer; raises CinderwayError if its status is not 200."""
+    """Send a request to a replica and return the body of its answer.
+
+    Raises CinderwayError with PEER_UNREACHABLE if there is no answer or its status is
+    not 200.
+    """
     limits = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_S)
     try:
         answer = httpcore.request(
@@ -37,7 +41,7 @@
     if answer.status != OK:
         raise CinderwayError(
             ErrorCode.PEER_UNREACHABLE,
-            f"the replica answered {answer.status}",
+            f"the replica answered with status {answer.status}",
             step=Step.RECEIVE,
             peer=replica,
         )
--- a/src/cinderway/_cli/_report.py
+++ b/src/cinderway/_cli/_report.py
@@ -1,4 +1,4 @@
-"""`cinderway report`: service-level burn, and ejections with their evidence."""
+"""`cinderway report`: error budgets, ejections, and statistics from entries' logs."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -34,16 +34,19 @@
 
 TIMEOUT_S = 3.0
 BAR_CHARACTERS = 20
-# A bar is full at this rate: it uses 30 days' budget up in two.
+# The burn rate at which a bar has full length: it uses up the error budget of 30 days
+# in about two.
 FULL_BAR_RATE = 14.4
-GAP_NAMES = [f"under {ms / 1000:g} s" for ms in GAPS_MS] + ["later"]
-WINDOW_NAMES = {300: "5 min", 3600: "1 h", 21600: "6 h", 259200: "3 days"}
+GAP_LABELS = [f"under {ms / 1000:g} s" for ms in GAPS_MS] + ["later"]
+WINDOW_LABELS = {300: "5 min", 3600: "1 h", 21600: "6 h", 259200: "3 days"}
 
-report = typer.Typer(help="What the entries have seen.", no_args_is_help=True)
+report = typer.Typer(help="What the entries have observed.", no_args_is_help=True)
 
 EntriesOption = Annotated[
     str | None,
-    typer.Option(help="Entries' --listen addresses; else control is asked for them."),
+    typer.Option(
+        help="Entries' --listen addresses; by default, control is asked for them."
+    ),
 ]
 
 
@@ -52,30 +55,32 @@
 def burn(
     settings: OperatorSettings,
     entries: EntriesOption = None,
-    plot: Annotated[Path | None, typer.Option(help="Also draw an SVG here.")] = None,
+    plot: Annotated[
+        Path | None, typer.Option(help="Also write an SVG chart here.")
+    ] = None,
 ) -> None:
     """Print how fast each service uses up its error budget, over several windows."""
-    answers = _ask_entries(settings, entries, ReadLevels())
-    rates = _burn_rates(answers)
+    answers = _query_entries(settings, entries, ReadLevels())
+    rates = _compute_burn_rates(answers)
     for service, by_window in rates.items():
         print(service)
         for window_s, (requests, missed, rate) in by_window.items():
             length = min(round(rate / FULL_BAR_RATE * BAR_CHARACTERS), BAR_CHARACTERS)
             bar = "#" * length
             print(
-                f"  {WINDOW_NAMES[window_s]:7} {rate:8.2f}x  {missed} of {requests} "
+                f"  {WINDOW_LABELS[window_s]:7} {rate:8.2f}x  {missed} of {requests} "
                 f"missed  {bar}"
             )
     print(f"{len(answers)} entries answered")
     if plot is not None:
-        _draw(rates, plot)
+        _draw_chart(rates, plot)
 
 
 @report.command()
 @with_settings(OperatorSettings)
 def ejections(settings: OperatorSettings, entries: EntriesOption = None) -> None:
-    """Print who was ejected, when, by which evidence, and what the floor held back."""
-    answers = _ask_entries(settings, entries, ReadEjections())
+    """Print ejections with time and evidence, and those that the floor prevented."""
+    answers = _query_entries(settings, entries, ReadEjections())
     count = 0
     for answer in answers:
         for event in answer.events:
@@ -93,9 +98,11 @@
 @report.command()
 def losses(
     logs: Annotated[list[Path], typer.Argument(help="Entries' logs.", exists=True)],
-    most: Annotated[int, typer.Option(help="Reasons and servers to list.")] = 8,
+    most: Annotated[
+        int, typer.Option(help="Number of reasons and servers to list.")
+    ] = 8,
 ) -> None:
-    """Print why requests were not answered, by service, from entries' logs."""
+    """Print from entries' logs why requests were not answered, by service."""
     for service, found in sorted(losses_of(_request_lines(logs)).items()):
         print(
             f"{service}: {len(found.answered_ms)} answered, half of them within "
@@ -112,12 +119,12 @@
 def servers(
     logs: Annotated[list[Path], typer.Argument(help="Entries' logs.", exists=True)],
     server: Annotated[
-        str | None, typer.Option(help="Print this server's runs, one by one.")
+        str | None, typer.Option(help="Print each request at this server.")
     ] = None,
 ) -> None:
-    """Print how requests ended by the outcome before them at the same server.
+    """Print how often requests failed after a success or failure at the same server.
 
-    Over all logs together, for requests that went to one server alone.
+    All logs are evaluated together. Only requests that went to a single server count.
     """
     found = runs_by_service(filter(None, map(parse_run, _log_lines(logs))))
     for name, service in sorted(found.items()):
@@ -126,15 +133,16 @@
             continue
         runs = sum(map(len, service.runs.values()))
         print(f"{name}: {runs} requests at {len(service.runs)} servers")
-        print(f"  {'first one seen':34}{_followed_text(service.first)}")
+        print(f"  {'first request seen':34}{_format_followed(service.first)}")
         for (is_good, gap), followed in sorted(service.followed.items()):
             outcome = "a good answer" if is_good else "a failure"
             print(
-                f"  {f'{GAP_NAMES[gap]} after {outcome}':34}{_followed_text(followed)}"
+                f"  {f'{GAP_LABELS[gap]} after {outcome}':34}"
+                f"{_format_followed(followed)}"
             )
 
 
-def _followed_text(followed: Followed) -> str:
+def _format_followed(followed: Followed) -> str:
     return (
         f"{followed.count:6}, {followed.failed:5} failed "
         f"({followed.failed_percent:.0f}%)"
@@ -143,10 +151,10 @@
 
 def _print_runs(runs: list[ServerRun]) -> None:
     for run in runs:
-        after_ms = run.began_at_ms - runs[0].began_at_ms
+        since_first_ms = run.began_at_ms - runs[0].began_at_ms
         outcome = "answered" if run.is_good else "failed"
-        took_ms = run.ended_at_ms - run.began_at_ms
-        print(f"{after_ms / 1000:9.3f} s  {outcome} in {took_ms} ms")
+        elapsed_ms = run.ended_at_ms - run.began_at_ms
+        print(f"{since_first_ms / 1000:9.3f} s  {outcome} in {elapsed_ms} ms")
 
 
 def _log_lines(logs: list[Path]) -> Iterator[str]:
@@ -159,7 +167,7 @@
     yield from filter(None, map(parse_request_line, _log_lines(logs)))
 
 
-def _burn_rates(answers: list[LevelsAnswer]) -> dict[str, dict[int, tuple]]:
+def _compute_burn_rates(answers: list[LevelsAnswer]) -> dict[str, dict[int, tuple]]:
     requests: Counter = Counter()
     missed: Counter = Counter()
     objectives: dict[str, float] = {}
@@ -179,22 +187,27 @@
     return rates
 
 
-def _draw(rates: dict[str, dict[int, tuple]], path: Path) -> None:
-    # Here only: daemons load this module for their command line and never plot.
+def _draw_chart(rates: dict[str, dict[int, tuple]], path: Path) -> None:
+    # Imported here because daemons started from the command line load this module, too,
+    # and never draw charts.
     import pygal
 
-    chart = pygal.Bar(title="Error budget used, times the allowed rate")
-    chart.x_labels = [WINDOW_NAMES[window_s] for window_s in WINDOWS_S]
+    chart = pygal.Bar(
+        title="Burn rate of the error budget, as a multiple of the allowed rate"
+    )
+    chart.x_labels = [WINDOW_LABELS[window_s] for window_s in WINDOWS_S]
     for service, by_window in rates.items():
         chart.add(service, [round(rate, 2) for _, _, rate in by_window.values()])
     path.write_bytes(chart.render())
 
 
-def _ask_entries(
+def _query_entries(
     settings: OperatorSettings, entries: str | None, request: Message
 ) -> list[LevelsAnswer | EjectionsAnswer]:
     identity = Identity(OPERATOR_NAME, settings.shared_key)
-    addresses = entries.split(",") if entries else _known_entries(settings, identity)
+    addresses = (
+        entries.split(",") if entries else _find_entry_addresses(settings, identity)
+    )
 
     async def ask_all() -> list:
         answers: list = []
@@ -215,7 +228,7 @@
     return anyio.run(ask_all)
 
 
-def _known_entries(settings: OperatorSettings, identity: Identity) -> list[str]:
+def _find_entry_addresses(settings: OperatorSettings, identity: Identity) -> list[str]:
     for address in settings.control:
         try:
             status = anyio.run(
@@ -228,6 +241,7 @@
             return known
     raise CinderwayError(
         ErrorCode.PEER_UNREACHABLE,
-        "no control replica knows any entry; name them by --entries",
+        "no reachable control replica knows any entry; give their addresses by "
+        "--entries",
         step=Step.CONNECT,
     )
--- a/src/cinderway/_cli/_servers.py
+++ b/src/cinderway/_cli/_servers.py
@@ -1,4 +1,4 @@
-"""`cinderway servers`: the backend servers that a control replica knows, by start."""
+"""`cinderway servers`: the backend servers that a control replica knows."""
 
 from datetime import UTC, datetime
 from typing import Annotated
@@ -7,11 +7,11 @@
 import typer
 
 from cinderway._cli._options import exit_on_error
-from cinderway._cli._replica_http import read_from
+from cinderway._cli._replica_http import get_from_replica
 from cinderway.catalog import SERVERS_PATH, RegisteredServer
 
 HEADER = ("server", "id", "started", "service", "data hall", "address", "status")
-NOT_TOLD = "-"
+NOT_REPORTED = "-"
 
 Replica = Annotated[
     str, typer.Argument(help="IP-number:port of a replica's HTTP interface.")
@@ -21,19 +21,19 @@
 
 
 def servers(replica: Replica) -> None:
-    """List registered servers and their starts, as one replica knows them."""
+    """List the registered servers that one replica knows, with their start times."""
     with exit_on_error():
         print("\t".join(HEADER))
-        for server in _decoder.decode(read_from(replica, SERVERS_PATH)):
-            print("\t".join(texts_of(server)))
+        for server in _decoder.decode(get_from_replica(replica, SERVERS_PATH)):
+            print("\t".join(format_row(server)))
 
 
-def texts_of(server: RegisteredServer) -> list[str]:
-    """Return one line's columns."""
+def format_row(server: RegisteredServer) -> list[str]:
+    """Return the columns of one line of the list."""
     return [
         server.server_id,
         server.told_id,
-        _time_text(server.started_at_ms),
+        _format_time(server.started_at_ms),
         server.service,
         server.data_hall,
         server.address,
@@ -41,12 +41,12 @@
     ]
 
 
-def _time_text(at_ms: int) -> str:
+def _format_time(at_ms: int) -> str:
     if not at_ms:
-        return NOT_TOLD
+        return NOT_REPORTED
     try:
         at = datetime.fromtimestamp(at_ms / 1000, UTC)
     except (OverflowError, ValueError):
-        # A server's clock may say anything.
+        # Servers report their own clock, which may be arbitrarily wrong.
         return str(at_ms)
     return at.isoformat(timespec="milliseconds")
--- a/src/cinderway/_cli/_table.py
+++ b/src/cinderway/_cli/_table.py
@@ -9,7 +9,7 @@
 import anyio
 import typer
 
-from cinderway._cli._operator import OPERATOR_NAME, ask_control
+from cinderway._cli._operator import OPERATOR_NAME, call_control
 from cinderway._cli._options import with_settings
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import EditId
@@ -48,7 +48,7 @@
 EditIdOption = Annotated[
     str | None,
     typer.Option(
-        "--edit-id", help="Give the id of an edit whose answer was lost, to resend it."
+        "--edit-id", help="Id of an edit whose answer was lost, to send it again."
     ),
 ]
 
@@ -56,7 +56,7 @@
 @table.command()
 @with_settings(OperatorSettings)
 def show(settings: OperatorSettings, sheet: SheetArgument) -> None:
-    """Print a sheet with the revision of each cell that was set."""
+    """Print a sheet, with the revision of each cell that was set."""
     _, current = _read_table(settings)
     print(f"revision {current.revision}")
     for row in current.rows(sheet):
@@ -78,19 +78,21 @@
     value: Annotated[str, typer.Argument(help="The new value.")],
     seen_revision: Annotated[
         int | None,
-        typer.Option(help="The cell's revision that you saw; else it is read first."),
+        typer.Option(
+            help="The cell's revision that you saw; by default, the newest one."
+        ),
     ] = None,
     edit_id: EditIdOption = None,
     seen_sequence: Annotated[
         int | None, typer.Option(help="With --edit-id: as printed the first time.")
     ] = None,
 ) -> None:
-    """Set one cell. Refused if somebody else changed it since you saw it."""
+    """Set one cell. Refused if the cell was changed after the revision that you saw."""
     declared = COLUMNS[sheet].get(column)
     if declared is None:
         raise CinderwayError(
             ErrorCode.CELL_INVALID,
-            f"no column {column!r}; there are " + ", ".join(COLUMNS[sheet]),
+            f"no column {column!r}; the columns are " + ", ".join(COLUMNS[sheet]),
             step=Step.CHECK_EDIT,
         )
     text = format_cell(parse_cell(declared, value))
@@ -110,14 +112,14 @@
     services: Annotated[Path | None, typer.Option(help="CSV of services.")] = None,
     servers: Annotated[Path | None, typer.Option(help="CSV of servers.")] = None,
 ) -> None:
-    """Bring the table in line with CSV files, in one edit: all of it or nothing."""
+    """Change the table to match CSV files, in one edit: all changes or none."""
     answer, current = _read_table(settings)
     changes: list[Change] = []
     for sheet, path in ((Sheet.SERVICES, services), (Sheet.SERVERS, servers)):
         if path is not None:
             changes += changes_from_csv(current, sheet, _read_text(path))
     if not changes:
-        print(f"nothing to change at revision {current.revision}")
+        print(f"no changes to revision {current.revision}")
         return
     _submit(settings, answer.sequence, changes, None)
 
@@ -132,7 +134,7 @@
 
 @table.command()
 def columns(sheet: SheetArgument) -> None:
-    """Explain the columns of a sheet."""
+    """Print the columns of a sheet with their allowed values and defaults."""
     for name, declared in COLUMNS[sheet].items():
         default = "required" if declared.is_required else format_cell(declared.default)
         print(f"{name}\n  {declared.help}")
@@ -142,7 +144,7 @@
 @table.command()
 @with_settings(OperatorSettings)
 def status(settings: OperatorSettings) -> None:
-    """Print what each control replica sees: the group, and every entry."""
+    """Print the control group and the entries, as each control replica sees them."""
     identity = Identity(OPERATOR_NAME, settings.shared_key)
     answers: dict[str, StatusAnswer] = {}
     for address in settings.control:
@@ -160,7 +162,7 @@
             print(f"CUT OFF: replica {replica.replica_id:x} at {replica.address}")
     _print_entries(list(answers.values()))
     if not current:
-        print("no replica is confirmed by a quorum: edits are refused now")
+        print("no replica is confirmed by a quorum: edits are refused for now")
         raise typer.Exit(EXIT_FAILED)
 
 
@@ -168,11 +170,13 @@
 @with_settings(OperatorSettings)
 def remove_replica(
     settings: OperatorSettings,
-    replica_id: Annotated[str, typer.Argument(help="Its id, as status prints it.")],
+    replica_id: Annotated[
+        str, typer.Argument(help="The replica's id, as status prints it.")
+    ],
 ) -> None:
-    """Take a control replica that is gone for good out of the group."""
-    ask_control(settings, RemoveReplica(int(replica_id, 16)))
-    print("the change is under way; see `cinderway table status`")
+    """Remove a control replica that will not come back from the group."""
+    call_control(settings, RemoveReplica(int(replica_id, 16)))
+    print("the removal has started; see `cinderway table status`")
 
 
 def _print_replica(address: str, answer: StatusAnswer) -> None:
@@ -207,7 +211,7 @@
 
 
 def _read_table(settings: OperatorSettings) -> tuple[TableAnswer, Table]:
-    answer = ask_control(settings, ReadTable())
+    answer = call_control(settings, ReadTable())
     current = Table()
     current.install(answer.delta)
     return answer, current
@@ -232,7 +236,7 @@
     edit = Edit(EditId(edit_id or str(uuid.uuid4())), operator, sequence, changes)
     resend = f"--edit-id {edit.edit_id} --seen-sequence {sequence}"
     try:
-        answer: EditAnswer = ask_control(settings, SubmitEdit(edit))
+        answer: EditAnswer = call_control(settings, SubmitEdit(edit))
     except CinderwayError as error:
         print(f"no answer; resend with {resend}", file=sys.stderr)
         raise error
--- a/src/cinderway/_clock.py
+++ b/src/cinderway/_clock.py
@@ -1,9 +1,9 @@
-"""Time for daemons. Decision code never calls this: time is passed in to it.
+"""Clocks for daemons. Decision code does not read a clock: it gets the time passed in.
 
-What others granted, or go by, is over for them also while this instance is suspended.
-So the clock here counts that time: a suspension is a standstill like any other. Timers
-of the event loop do not count it, and end late; nothing is taken to be valid because a
-timer has not fired.
+Leases and timeouts expire for the other processes while this instance is suspended, so
+the monotonic clock includes the time of a suspension. The event loop's timers do not
+include it and fire late. Code must therefore compare times to decide whether something
+is still valid, and must not rely on a timer that has not fired yet.
 """
 
 import time
@@ -11,33 +11,33 @@
 from contextlib import contextmanager
 
 
-def _since_boot_ns() -> int:
-    # The steady clock of the library stands still while an instance is suspended.
+def _read_boottime_ns() -> int:
+    # On Linux, time.monotonic() stops while the instance is suspended.
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-_monotonic_ns: Callable[[], int] = _since_boot_ns
+_monotonic_ns: Callable[[], int] = _read_boottime_ns
 
 
 def monotonic_ms() -> int:
-    """Milliseconds that never go back; comparable within one process only.
+    """Return a monotonic time in milliseconds, comparable within one process only.
 
-    They include the time for which the instance was suspended.
+    It includes the time for which the instance was suspended.
     """
     return _monotonic_ns() // 1_000_000
 
 
 def wall_clock_ms() -> int:
-    """Milliseconds since the epoch; may jump."""
+    """Return milliseconds since the Unix epoch; may jump forwards or backwards."""
     return time.time_ns() // 1_000_000
 
 
 @contextmanager
 def monotonic_source(source_ns: Callable[[], int]) -> Iterator[None]:
-    """Take monotonic time from elsewhere: an experiment's time runs by itself."""
+    """Replace the source of monotonic time, as experiments in virtual time do."""
     global _monotonic_ns
-    former, _monotonic_ns = _monotonic_ns, source_ns
+    previous, _monotonic_ns = _monotonic_ns, source_ns
     try:
         yield
     finally:
-        _monotonic_ns = former
+        _monotonic_ns = previous
--- a/src/cinderway/_daemon.py
+++ b/src/cinderway/_daemon.py
@@ -1,4 +1,4 @@
-"""What all daemons share: the stop signal, the operators' port, a replica's tasks."""
+"""Code that all daemons share: stop signals, the operators' port, running a replica."""
 
 import logging
 import signal
@@ -22,43 +22,46 @@
 
 logger = logging.getLogger(__name__)
 
-RESTART_PAUSE_S = 1.0
+RESTART_DELAY_S = 1.0
 
 
 async def wait_for_stop() -> None:
-    """Return at SIGTERM or SIGINT."""
+    """Wait for SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
 
 
 def log_start(log: logging.Logger, role: str, address: Address) -> None:
-    """Write the line that begins a process's log."""
+    """Write the first line of a process's log."""
     log.info("%s %s starts at %s", role, __version__, address)
 
 
 async def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> None:
-    """Run a controller again if it fails in an unforeseen way.
+    """Run a background task, and restart it if it raises an unexpected exception.
 
-    For controllers without which callers can still be served: their fault must not
-    end the process and with it the requests in flight.
+    For tasks without which callers can still be served: an error in one of them must
+    not end the process and with it the requests in flight.
     """
     while True:
         try:
             await run()
             return
         except Exception:
-            logger.exception("the %s failed and is started again", name)
-            await anyio.sleep(RESTART_PAUSE_S)
+            logger.exception("the %s failed and will be restarted", name)
+            await anyio.sleep(RESTART_DELAY_S)
 
 
 async def run_replica(
     settings: ReplicaSettings,
     group: str,
     machine: StateMachine,
-    routes_of: Callable[[Node], tuple[Route, ...]],
+    build_routes: Callable[[Node], tuple[Route, ...]],
 ) -> None:
-    """Run one replica of a group; hand leadership over before stopping."""
+    """Run one replica of a Raft group until it is told to stop.
+
+    A leader tries to transfer its leadership to another replica before it stops.
+    """
     configure_logging(settings.log_format, settings.log_level)
     identity = Identity(f"{group}@{settings.listen}", settings.shared_key)
     folder = DataFolder(settings.data_folder, group, settings.listen)
@@ -69,10 +72,12 @@
     )
     node = Node(folder, machine, node_settings, identity)
     async with anyio.create_task_group() as tasks:
-        routes = (node.route, *routes_of(node))
+        routes = (node.route, *build_routes(node))
         await tasks.start(serve_connections, settings.listen, routes, identity)
         tasks.start_soon(node.run)
-        await start_operators(tasks, settings.operators_listen, _replica_gauges(node))
+        await start_operators(
+            tasks, settings.operators_listen, _build_replica_gauges(node)
+        )
         await wait_for_stop()
         await node.hand_over()
         tasks.cancel_scope.cancel()
@@ -89,7 +94,7 @@
     await tasks.start(serve_operators, address, gauges, is_ready)
 
 
-def _replica_gauges(node: Node) -> Gauges:
+def _build_replica_gauges(node: Node) -> Gauges:
     def read() -> dict[str, float]:
         counters = node.counters
         return {
--- a/src/cinderway/_errors.py
+++ b/src/cinderway/_errors.py
@@ -1,10 +1,10 @@
-"""Every error that cinderway raises or answers with: a code, a step and a peer."""
+"""The errors that cinderway raises or returns: each has a code, a step and a peer."""
 
 from enum import Enum
 
 
 class ErrorCode(Enum):
-    """What went wrong. Callers, logs and the command line all show these values."""
+    """What went wrong. The values appear in responses, logs and the command line."""
 
     SETTING_INVALID = "setting-invalid"
     ADDRESS_UNUSABLE = "address-unusable"
@@ -56,7 +56,7 @@
 
 
 class Step(Enum):
-    """Where in its work a process was when an error arose."""
+    """The operation during which an error occurred."""
 
     START = "start"
     CONNECT = "connect"
@@ -77,7 +77,7 @@
 
 
 class CinderwayError(Exception):
-    """An error with its code, the step it arose at and the peer involved, if any."""
+    """An error with its code, the step where it occurred and the peer, if any."""
 
     def __init__(self, code: ErrorCode, detail: str, *, step: Step, peer: str = ""):
         super().__init__(detail)
@@ -92,7 +92,7 @@
 
 
 class RefusedForNowError(CinderwayError):
-    """A request that is not sent now, and after how long it may be again."""
+    """A temporary rejection: the request may be retried after `retry_after_ms`."""
 
     def __init__(
         self,
--- a/src/cinderway/_http_body.py
+++ b/src/cinderway/_http_body.py
@@ -1,12 +1,12 @@
-"""Read a whole HTTP body from ASGI, within a limit."""
+"""Read a whole HTTP request body from ASGI, up to a size limit."""
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 
 
 async def whole_body(receive, limit_bytes: int) -> bytes | None:
-    """Return a request's body, or None if its sender left before the end.
+    """Return a request's body, or None if the client disconnected before its end.
 
-    Raises CinderwayError with REQUEST_TOO_LARGE over the limit.
+    Raises CinderwayError with REQUEST_TOO_LARGE if the body exceeds the limit.
     """
     parts = []
     size_bytes = 0
@@ -19,7 +19,7 @@
         if size_bytes > limit_bytes:
             raise CinderwayError(
                 ErrorCode.REQUEST_TOO_LARGE,
-                f"the body is over {limit_bytes} bytes",
+                f"the body exceeds {limit_bytes} bytes",
                 step=Step.RECEIVE,
             )
         if not message.get("more_body"):
--- a/src/cinderway/_http_server.py
+++ b/src/cinderway/_http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server for one ASGI application, without timers of its own at rest."""
+"""An HTTP server for one ASGI application that runs no periodic timer while idle."""
 
 import contextlib
 
@@ -8,41 +8,41 @@
 
 from cinderway._ids import Address
 
-START_POLL_S = 0.005
+START_POLL_INTERVAL_S = 0.005
 ACCEPT_BACKLOG = 4096
 DEFAULT_KEEP_ALIVE_S = 30
 
 
 class QuietServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to the daemon around it and has no ticker.
+    """A uvicorn server without signal handlers and without a periodic main loop.
 
-    uvicorn's own main loop wakes ten times a second to look at `should_exit` and to
-    renew the Date header; neither is needed here, and the wake-ups are what an idle
-    entry would otherwise cost.
+    The daemon that runs the server handles the signals. uvicorn's own main loop wakes
+    up ten times a second to check `should_exit` and to update the Date header. Neither
+    is needed here, and these wake-ups would be the only CPU use of an idle entry.
     """
 
     def __init__(self, config: uvicorn.Config):
         super().__init__(config)
-        self._stop_asked = anyio.Event()
+        self._stop_requested = anyio.Event()
 
     def capture_signals(self):
-        """Handle no signals."""
+        """Install no signal handlers, as the daemon handles signals itself."""
         return contextlib.nullcontext()
 
     async def main_loop(self) -> None:
         """Wait until `stop` is called."""
-        await self._stop_asked.wait()
+        await self._stop_requested.wait()
 
     def stop(self) -> None:
-        """Accept no more connections; `serve` returns when the open ones are done."""
+        """Stop accepting connections; `serve` returns when the open ones are done."""
         self.should_exit = True
-        self._stop_asked.set()
+        self._stop_requested.set()
 
 
 def http_server(
     address: Address, app, *, keep_alive_s: float = DEFAULT_KEEP_ALIVE_S
 ) -> QuietServer:
-    """Return a server that is not started yet."""
+    """Build a server for the application; the caller starts it with `serve`."""
     host, _, port = address.rpartition(":")
     config = uvicorn.Config(
         app,
@@ -53,7 +53,7 @@
         log_config=None,
         access_log=False,
         server_header=False,
-        # A forwarded answer brings its own.
+        # Responses that are forwarded from backend servers already have a Date header.
         date_header=False,
         timeout_keep_alive=keep_alive_s,
         backlog=ACCEPT_BACKLOG,
@@ -64,10 +64,10 @@
 async def serve_http(
     address: Address, app, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
 ) -> None:
-    """Serve an application until cancelled."""
+    """Serve an application until cancelled; reports `started` once it listens."""
     server = http_server(address, app)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve)
         while not server.started:
-            await anyio.sleep(START_POLL_S)
+            await anyio.sleep(START_POLL_INTERVAL_S)
         task_status.started()
--- a/src/cinderway/_ids.py
+++ b/src/cinderway/_ids.py
@@ -1,4 +1,4 @@
-"""Identifiers. Each is a distinct type, so that one cannot stand for another."""
+"""Identifiers. Each has its own type, so that the type checker finds mix-ups."""
 
 from typing import NewType
 
@@ -13,7 +13,7 @@
 AccountName = NewType("AccountName", str)
 ApiKey = NewType("ApiKey", str)
 Address = NewType("Address", str)
-# Of what repeats of one request share: keyed, 16 bytes.
+# Keyed 16-byte digest over the parts of a request that are equal in its repetitions.
 RequestDigest = NewType("RequestDigest", bytes)
 
 NO_REPLICA = ReplicaId(0)
--- a/src/cinderway/_launch.py
+++ b/src/cinderway/_launch.py
@@ -1,8 +1,8 @@
-"""Start a daemon by its settings, with or without the command line.
+"""Start a daemon from its settings, with or without the command line.
 
-`python -m cinderway._launch ROLE` takes a role's settings from the environment and the
-settings file alone. It spares what the command line needs (its libraries, all other
-commands): an instance that is started anew serves so much sooner.
+`python -m cinderway._launch ROLE` reads the settings of a role only from the
+environment and the settings file. It does not import the command-line libraries or the
+other commands, so that an instance begins to serve sooner after a restart.
 """
 
 import importlib
@@ -61,28 +61,28 @@
 
 
 def run_daemon(daemon: Callable[[Any], Awaitable[None]], settings: Any) -> None:
-    """Run a daemon to its end; raises the first error that ended it."""
+    """Run a daemon until it ends; raises the first CinderwayError that ended it."""
     try:
         anyio.run(daemon, settings, backend_options={"use_uvloop": True})
     except* CinderwayError as group:
         failure = group
     else:
         return
-    raise _first_of(failure)
+    raise _find_first_error(failure)
 
 
-def exit_code_of(error: CinderwayError) -> int:
-    """Return 2 for input that is wrong, 1 for everything else."""
+def get_exit_code(error: CinderwayError) -> int:
+    """Return 2 for invalid input and 1 for every other error."""
     return EXIT_BAD_INPUT if error.code in BAD_INPUT_CODES else EXIT_FAILED
 
 
-def _first_of(group: BaseExceptionGroup) -> BaseException:
-    """Return the first error in nested groups, as task groups make them."""
+def _find_first_error(group: BaseExceptionGroup) -> BaseException:
+    """Return the first error in the nested exception groups that task groups raise."""
     error = group.exceptions[0]
-    return _first_of(error) if isinstance(error, BaseExceptionGroup) else error
+    return _find_first_error(error) if isinstance(error, BaseExceptionGroup) else error
 
 
-def _role_of(name: str) -> Role:
+def _get_role(name: str) -> Role:
     if name not in ROLES:
         raise CinderwayError(
             ErrorCode.SETTING_INVALID,
@@ -92,33 +92,33 @@
     return ROLES[name]
 
 
-def _environment_of(role: Role) -> dict[str, str | None]:
-    """Return what the environment says of each of a role's settings."""
+def _read_environment(role: Role) -> dict[str, str | None]:
+    """Return the environment's value, if any, for each of a role's settings."""
     return {
         name: os.environ.get(environment_variable_of(name))
         for name in settings_of(role.settings)
     }
 
 
-def _leave_out_trio() -> None:
-    """Keep httpcore from importing trio where that happens to be installed.
+def _block_trio_import() -> None:
+    """Prevent httpcore from importing trio where that is installed.
 
-    Nothing here runs on it. It took 0.13 of 0.65 s of processor time to import an
-    entry, and 5 of 43 MB (means of three starts).
+    No process runs on trio. Importing it took 0.13 s of the 0.65 s of processor time
+    for importing an entry, and 5 MB of its 43 MB (means of three starts).
     """
     sys.modules.setdefault("trio", None)
 
 
 def main(arguments: list[str]) -> int:
     """Run the role that the first argument names; return the exit code."""
-    _leave_out_trio()
+    _block_trio_import()
     try:
-        role = _role_of(arguments[0] if arguments else "")
-        given = with_settings_file(_environment_of(role))
+        role = _get_role(arguments[0] if arguments else "")
+        given = with_settings_file(_read_environment(role))
         run_daemon(role.run, parse_settings(role.settings, given))
     except CinderwayError as error:
         print(f"cinderway: {error}", file=sys.stderr)
-        return exit_code_of(error)
+        return get_exit_code(error)
     return 0
 
 
--- a/src/cinderway/_logging.py
+++ b/src/cinderway/_logging.py
@@ -1,8 +1,8 @@
-"""Log lines, for people or as JSON, on standard output.
+"""Log lines on standard output, in human-readable form or as JSON.
 
-Writing never blocks and is bounded: a full pipe or too many lines in a second lose
-lines, not requests. Lost lines are counted, and the next line that gets through says
-how many there were.
+Logging never blocks and is rate-limited, so that it cannot delay requests: lines are
+dropped when the pipe is full or when there are too many in one second. The next line
+that is written states how many were dropped before it.
 """
 
 import json
@@ -12,7 +12,7 @@
 import time
 
 HUMAN_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-# Ten times what an entry of today's fleets writes at its peak.
+# Ten times the peak rate of an entry in today's fleets.
 LINES_PER_S = 200
 
 
@@ -31,7 +31,10 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor without ever waiting for its reader."""
+    """Writes lines to a file descriptor without blocking, up to a rate limit.
+
+    Lines at level WARNING and above have twice the limit.
+    """
 
     def __init__(self, descriptor: int, lines_per_s: int = LINES_PER_S):
         super().__init__()
@@ -39,18 +42,18 @@
         self._descriptor = descriptor
         self._lines_per_s = lines_per_s
         self._window_s = 0
-        self._lines = 0
-        self._rest = b""
+        self._lines_in_window = 0
+        self._unsent = b""
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's line, or count it as dropped."""
+        """Write the record as a line, or count it as dropped."""
         second = int(time.monotonic())
         if second != self._window_s:
-            self._window_s, self._lines = second, 0
-        self._lines += 1
+            self._window_s, self._lines_in_window = second, 0
+        self._lines_in_window += 1
         is_urgent = record.levelno >= logging.WARNING
-        if self._lines > self._lines_per_s * (2 if is_urgent else 1):
+        if self._lines_in_window > self._lines_per_s * (2 if is_urgent else 1):
             self.dropped += 1
             return
         line = self.format(record)
@@ -62,20 +65,24 @@
             self.dropped += 1
 
     def _write(self, line: bytes) -> bool:
-        """Write a line; whole lines only, so what was cut goes out first."""
+        """Write a line; return False if it was dropped.
+
+        If the previous line was written only partly, its remainder goes out first, so
+        that lines are never mixed.
+        """
         try:
-            self._rest = self._rest[os.write(self._descriptor, self._rest) :]
-            if self._rest:
+            self._unsent = self._unsent[os.write(self._descriptor, self._unsent) :]
+            if self._unsent:
                 return False
-            self._rest = line[os.write(self._descriptor, line) :]
+            self._unsent = line[os.write(self._descriptor, line) :]
         except OSError:
-            # The reader is slow or gone: the line is dropped, and counted.
+            # The pipe is full or closed. The caller counts the line as dropped.
             return False
         return True
 
 
 def configure_logging(form: str, level: str) -> None:
-    """Send log lines to standard output in the given form."""
+    """Write log lines to standard output, as JSON if `form` is "json"."""
     handler = BoundedHandler(sys.stdout.fileno())
     if form == "json":
         handler.setFormatter(_JsonFormatter())
@@ -85,5 +92,5 @@
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
     logging.getLogger("httpcore").setLevel(logging.WARNING)
-    # It would log each answer that is broken off on purpose with a traceback.
+    # uvicorn logs a traceback for each response that is aborted on purpose.
     logging.getLogger("uvicorn.error").setLevel(logging.CRITICAL)
--- a/src/cinderway/_operators.py
+++ b/src/cinderway/_operators.py
@@ -1,4 +1,4 @@
-"""The operators' port: /metrics, /healthz and /readyz, apart from callers' traffic."""
+"""The operators' port: /metrics, /healthz and /readyz, separate from callers' port."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from cinderway.wire import traffic
 
 METRIC_PREFIX = "cinderway_"
-# From a quick look-up to a caller's whole deadline.
+# The range from a fast look-up to the full deadline of a caller.
 BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.0, 1.5, 2.5, 4.0, 6.0)
 OK = 200
 UNAVAILABLE = 503
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """The process's registry; counters and gauges are made on first use."""
+    """The process's metrics; each is registered when it is first used."""
 
     def __init__(self):
         self.registry = Registry()
@@ -30,7 +30,7 @@
         self._histograms: dict[str, Histogram] = {}
 
     def count(self, name: str, labels: dict[str, str], amount: float = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter by `amount`."""
         counter = self._counters.get(name)
         if counter is None:
             counter = Counter(
@@ -40,7 +40,7 @@
         counter.add(labels, amount)
 
     def observe(self, name: str, value: float, labels: dict[str, str]) -> None:
-        """Note a value in a histogram."""
+        """Record a value in a histogram."""
         histogram = self._histograms.get(name)
         if histogram is None:
             histogram = Histogram(
@@ -53,7 +53,7 @@
         histogram.add(labels, value)
 
     def set_gauge(self, name: str, value: float, labels: dict[str, str]) -> None:
-        """Set a gauge."""
+        """Set a gauge to a value."""
         gauge = self._gauges.get(name)
         if gauge is None:
             gauge = Gauge(
@@ -71,7 +71,7 @@
     *,
     task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled."""
+    """Serve metrics, liveness and readiness until cancelled."""
     metrics = metrics or Metrics()
 
     async def app(scope, receive, send) -> None:
@@ -79,7 +79,7 @@
             return
         match scope["path"]:
             case "/metrics":
-                for name, value in {**gauges(), **_traffic_gauges()}.items():
+                for name, value in {**gauges(), **_read_traffic_gauges()}.items():
                     metrics.set_gauge(name, value, {})
                 body, headers = render(metrics.registry, [])
                 await _respond(send, OK, body, headers.get("Content-Type", ""))
@@ -95,7 +95,7 @@
     await serve_http(address, app, task_status=task_status)
 
 
-def _traffic_gauges() -> dict[str, float]:
+def _read_traffic_gauges() -> dict[str, float]:
     return {
         "wire_sent_bytes": float(traffic.sent_bytes),
         "wire_received_bytes": float(traffic.received_bytes),
--- a/src/cinderway/_settings/__init__.py
+++ b/src/cinderway/_settings/__init__.py
@@ -1,7 +1,7 @@
-"""Settings: one immutable, checked object a role, from flags and environment.
+"""Settings: one immutable, validated object per role, from flags and environment.
 
-Each field is declared once; its flag, its environment variable, its help and its
-check all come from that declaration. A role may also name a settings file.
+Each field is declared once; its flag, environment variable, help text and validation
+are derived from that declaration. The settings of some roles can also come from a file.
 """
 
 from cinderway._settings._catalog_roles import (
@@ -13,7 +13,7 @@
     REQUIRED,
     Setting,
     environment_variable_of,
-    flag_of,
+    get_flag,
     parse_settings,
     setting,
     settings_of,
@@ -42,7 +42,7 @@
     "Setting",
     "changed_settings",
     "environment_variable_of",
-    "flag_of",
+    "get_flag",
     "parse_settings",
     "read_settings_file",
     "setting",
--- a/src/cinderway/_settings/_catalog_roles.py
+++ b/src/cinderway/_settings/_catalog_roles.py
@@ -1,4 +1,4 @@
-"""Settings of the roles that serve by the service catalog."""
+"""Settings of the roles that use the service catalog."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,10 +18,10 @@
     shared_key_field,
 )
 from cinderway._settings._parsers import (
-    integer,
-    number_or,
+    integer_parser,
+    number_parser,
     parse_address,
-    parse_flag,
+    parse_boolean,
     parse_name,
     parse_optional_address,
 )
@@ -30,72 +30,79 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CatalogControlSettings:
-    """Settings of a control replica that keeps the service catalog."""
+    """Settings of a control replica that stores the service catalog."""
 
     settings_file: str = settings_file_field()
-    data_hall: DataHall = setting(parse_name, NAME_FORM, "Data hall that it stands in.")
+    data_hall: DataHall = setting(
+        parse_name, NAME_FORM, "Data hall in which the process runs."
+    )
     listen: Address = listen_field()
     http_listen: Address = setting(
         parse_address,
         ADDRESS_FORM,
-        "Where operators and backend servers make their calls.",
+        "Address of the HTTP interface for operators and backend servers.",
     )
     seeds: tuple[Address, ...] = seeds_field()
     is_first_start: bool = setting(
-        parse_flag,
+        parse_boolean,
         "true | false",
-        "Whether the fleet starts for the first time ever: the first seed founds.",
+        "Whether the fleet starts for the first time; the first seed then bootstraps "
+        "the group.",
         "false",
     )
     tolerated_losses: int = setting(
-        integer(0, 7),
+        integer_parser(0, 7),
         "0 to 7 replicas",
-        "Replicas that may lose their disks at once; twice that and one must vote.",
+        "Number of replicas that may lose their disks at the same time; the group has "
+        "twice as many voters plus one.",
         "1",
     )
     bias: Bias = setting(
         lambda text: Bias(text),
         "detect-soon | balanced | eject-rarely",
-        "Which mistake detection should rather make.",
+        "Which error failure detection should prefer: false alarms or late detection.",
         "balanced",
     )
     floor_percent: int = setting(
-        integer(0, 100),
+        integer_parser(0, 100),
         "0 to 100 % of slots",
-        "Ejection leaves a service at least this share of its slots.",
+        "Minimum share of a service's slots that ejections leave in use.",
         "70",
     )
     retry_percent: int = setting(
-        integer(0, 100),
+        integer_parser(0, 100),
         "0 to 100 % of a service's requests",
-        "Second tries and hedges of the entries that follow here, all together.",
+        "Limit on the retries and hedges of all entries that follow this replica, "
+        "together.",
         "10",
     )
     retry_burst: float = setting(
         float,
         "a number of requests",
-        "Second tries in ten seconds beyond that share, for each such entry.",
+        "Retries in ten seconds beyond --retry-percent, for each such entry.",
         "1",
     )
     allowance_window_s: float = setting(
-        number_or(5.0),
+        number_parser(5.0),
         "a number above 0, or nothing for 5",
-        "Span in which client accounts' requests are counted against rate and burst.",
+        "Window in which client accounts' requests count against rate and burst.",
         "",
     )
     allowance_overshoot_ratio: float = setting(
-        number_or(0.0),
+        number_parser(0.0),
         "a number, 0 or above, or nothing for 0",
-        "What accounts may send beyond rate and burst, as a part of them.",
+        "Tolerated excess over accounts' rate and burst, as a fraction of them.",
         "",
     )
     allowance_slack_requests: float = setting(
-        number_or(0.0),
+        number_parser(0.0),
         "a number, 0 or above, or nothing for 0",
-        "What accounts may send beyond rate and burst in a span, besides.",
+        "Requests in a window that are tolerated in addition to that excess.",
         "",
     )
-    data_folder: Path = setting(Path, "a folder's path", "Where state is kept.")
+    data_folder: Path = setting(
+        Path, "a folder's path", "Folder for the replica's state."
+    )
     shared_key: bytes = shared_key_field()
     operators_listen: Address = operators_listen_field()
     log_format: str = log_format_field()
@@ -104,78 +111,82 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CatalogEntrySettings:
-    """Settings of an entry that serves by the service catalog."""
+    """Settings of an entry that routes requests by the service catalog."""
 
     settings_file: str = settings_file_field()
     name: EntryName = setting(parse_name, NAME_FORM, "Name of this entry in the fleet.")
-    data_hall: DataHall = setting(parse_name, NAME_FORM, "Data hall that it stands in.")
+    data_hall: DataHall = setting(
+        parse_name, NAME_FORM, "Data hall in which the process runs."
+    )
     callers_listen: Address = setting(
-        parse_address, ADDRESS_FORM, "Where callers' HTTP requests are taken."
+        parse_address, ADDRESS_FORM, "Address for callers' HTTP requests."
     )
     seeds: tuple[Address, ...] = seeds_field()
     control_port: int = setting(
-        integer(1, 65_535),
+        integer_parser(1, 65_535),
         "1 to 65535",
-        "Port at which control replicas talk to the fleet's own processes.",
+        "Port at which control replicas accept connections from the fleet's processes.",
     )
     peers_listen: Address = setting(
         parse_optional_address,
         f"{ADDRESS_FORM}, or nothing",
-        "UDP address at which the hall's entries hear each other without control.",
+        "UDP address for gossip between the entries of a data hall while no control "
+        "replica is reachable.",
         "",
     )
     shared_key: bytes = shared_key_field()
     operators_listen: Address = operators_listen_field()
     drain_ms: int = setting(
-        integer(0, 600_000),
+        integer_parser(0, 600_000),
         "0 to 600000 ms",
-        "How long a stopping entry goes on accepting while the balancer's list lags.",
+        "How long a stopping entry still accepts connections, as the load balancer "
+        "removes it with a delay.",
         "2500",
     )
     stop_limit_ms: int = setting(
-        integer(100, 3_600_000),
+        integer_parser(100, 3_600_000),
         "100 to 3600000 ms",
-        "A stopping entry ends by then, whatever still runs.",
+        "Time after which a stopping entry ends, even with requests in flight.",
         "60000",
     )
     lone_retry_percent: int = setting(
-        integer(0, 100),
+        integer_parser(0, 100),
         "0 to 100 % of a service's requests",
-        "Second tries of this entry while it has no control replica to share with.",
+        "Limit on the retries of this entry while it follows no control replica.",
         "5",
     )
     attempt_header: bytes = header_field(
-        "Header by which callers name a try; answers must carry it back.",
+        "Header with a caller's attempt id, which every response must return.",
         "cinderway-attempt",
     )
     deadline_header: bytes = header_field(
-        "Header that carries the milliseconds left.", "cinderway-deadline-ms"
+        "Header with the milliseconds left until the deadline.", "cinderway-deadline-ms"
     )
     expected_header: bytes = header_field(
-        "Header that names the server a request is meant for.", "cinderway-expected"
+        "Header with the server that a request is meant for.", "cinderway-expected"
     )
     not_run_header: bytes = header_field(
-        "Header by which a server says that it did not run a request.",
+        "Header with which a server reports that it did not run a request.",
         "cinderway-not-run",
     )
     load_header: bytes = header_field(
-        "Header in which a server tells requests running, waiting and slots.",
+        "Header in which a server reports its running and waiting requests and slots.",
         "cinderway-load",
     )
     leaving_header: bytes = header_field(
-        "Header in any answer by which a server says that it leaves.",
+        "Response header with which a server announces that it is shutting down.",
         "cinderway-drain",
     )
     limit_header: bytes = header_field(
-        "Header in any answer by which a server names how many requests a second it "
-        "takes from all entries together.",
+        "Response header in which a server states how many requests a second it "
+        "accepts from all entries together.",
         "cinderway-rate-limit",
     )
     seal_header: bytes = header_field(
-        "Header that every successful answer of a server carries, if any.", ""
+        "Header that every successful response of a server must have, if set.", ""
     )
     account_header: bytes = header_field(
-        "Header that tells servers a request's account; a caller's own is dropped.",
+        "Header that tells servers a request's account; a caller's value is removed.",
         "cinderway-account",
     )
     log_format: str = log_format_field()
--- a/src/cinderway/_settings/_declaration.py
+++ b/src/cinderway/_settings/_declaration.py
@@ -1,4 +1,4 @@
-"""How a settings field is declared and parsed.
+"""Declaration and parsing of settings fields.
 
 A declaration holds the parser, the help text and the default of one field; the names
 of its flag and its environment variable are derived from the field's name.
@@ -12,13 +12,17 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 
 ENVIRONMENT_PREFIX = "CINDERWAY_"
-# The default of a setting that has to be given.
+# Marks a setting without a default.
 REQUIRED = object()
 
 
 @dataclass(frozen=True)
 class Setting:
-    """How a setting is read: `parse` returns its value or raises ValueError."""
+    """The declaration of one setting.
+
+    `parse` returns the value of a text or raises ValueError; `allowed` describes the
+    valid texts in help and error messages.
+    """
 
     parse: Callable[[str], Any]
     allowed: str
@@ -29,18 +33,18 @@
 def setting(
     parse: Callable[[str], Any], allowed: str, help: str, default: Any = REQUIRED
 ) -> Any:
-    """Declare a settings field; the default is given as text."""
+    """Declare a settings field; `default` is a text that `parse` accepts."""
     return dataclasses.field(
         metadata={"setting": Setting(parse, allowed, help, default)}
     )
 
 
-def settings_of(kind: type) -> dict[str, Setting]:
-    """Return a settings class's declarations by field name."""
-    return {f.name: f.metadata["setting"] for f in dataclasses.fields(kind)}
+def settings_of(settings_class: type) -> dict[str, Setting]:
+    """Return the declarations of a settings class by field name."""
+    return {f.name: f.metadata["setting"] for f in dataclasses.fields(settings_class)}
 
 
-def flag_of(name: str) -> str:
+def get_flag(name: str) -> str:
     """Return the command-line flag of a setting."""
     return "--" + name.replace("_", "-")
 
@@ -50,26 +54,28 @@
     return ENVIRONMENT_PREFIX + name.upper()
 
 
-def parse_settings(kind: type, given: dict[str, str | None]) -> Any:
-    """Return the checked settings object.
+def parse_settings(settings_class: type, given: dict[str, str | None]) -> Any:
+    """Parse the texts of all settings and return the settings object.
 
-    Raises CinderwayError with SETTING_INVALID, saying what was given and allowed.
+    Raises CinderwayError with SETTING_INVALID if a setting is invalid or missing; the
+    message names the given text and the allowed ones.
     """
     values = {}
-    for name, declared in settings_of(kind).items():
+    for name, declared in settings_of(settings_class).items():
         text = given.get(name)
         if text is None:
             text = declared.default
         if text is REQUIRED:
             raise _invalid(name, "nothing", declared.allowed)
         values[name] = parse_setting(name, declared, text)
-    return kind(**values)
+    return settings_class(**values)
 
 
 def parse_setting(name: str, declared: Setting, text: str) -> Any:
-    """Return one setting's value; raises CinderwayError with SETTING_INVALID.
+    """Parse the text of one setting and return its value.
 
-    The text of a key is not shown in the error.
+    Raises CinderwayError with SETTING_INVALID; the message does not show the
+    text of a key.
     """
     try:
         return declared.parse(text)
@@ -81,7 +87,7 @@
 def _invalid(name: str, given: str, allowed: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.SETTING_INVALID,
-        f"{flag_of(name)} ({environment_variable_of(name)}): "
+        f"{get_flag(name)} ({environment_variable_of(name)}): "
         f"given {given}; allowed: {allowed}",
         step=Step.START,
     )
--- a/src/cinderway/_settings/_fields.py
+++ b/src/cinderway/_settings/_fields.py
@@ -1,4 +1,4 @@
-"""Declarations of the fields that several settings classes have in common."""
+"""Declarations of fields that several settings classes share."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
     parse_address,
     parse_header,
     parse_key,
-    parse_some_addresses,
+    parse_nonempty_addresses,
 )
 
 ADDRESS_FORM = "IP-number:port, port 0 to 65535"
@@ -17,27 +17,27 @@
 
 
 def listen_field(default: Any = REQUIRED) -> Any:
-    """Declare the address of the conversations among cinderway processes."""
+    """Declare the address for messages from other processes and operators."""
     return setting(
         parse_address,
         ADDRESS_FORM,
-        "Where other cinderway processes and operators reach this one.",
+        "Address at which other cinderway processes and operators reach this one.",
         default,
     )
 
 
 def operators_listen_field() -> Any:
-    """Declare the address of metrics and health checks."""
+    """Declare the address of the operators' port."""
     return setting(
         parse_address,
         ADDRESS_FORM,
-        "Where /metrics, /healthz and /readyz are served.",
+        "Address at which /metrics, /healthz and /readyz are served.",
         "127.0.0.1:0",
     )
 
 
 def shared_key_field() -> Any:
-    """Declare the key that proves membership of the fleet."""
+    """Declare the key with which processes of the fleet authenticate."""
     return setting(
         parse_key,
         f"at least {SHARED_KEY_MIN_CHARACTERS} characters",
@@ -46,18 +46,21 @@
 
 
 def log_format_field() -> Any:
-    """Declare the form of log lines."""
+    """Declare the format of log lines."""
     return setting(
-        one_of("human", "json"), "human | json", "Form of the log lines.", "human"
+        one_of("human", "json"),
+        "human | json",
+        "Format of log lines.",
+        "human",
     )
 
 
 def log_level_field() -> Any:
-    """Declare the least severe level that is logged."""
+    """Declare the minimum level of log lines."""
     return setting(
         one_of("debug", "info", "warning", "error"),
         "debug | info | warning | error",
-        "Least severe log lines to write.",
+        "Minimum level of the log lines to write.",
         "info",
     )
 
@@ -67,20 +70,21 @@
     return setting(
         str,
         "a TOML file's path, or nothing",
-        "File with further settings by name; it may change while the process runs.",
+        "File with more settings by name, which is reloaded when it changes.",
         "",
     )
 
 
 def seeds_field() -> Any:
-    """Declare the replicas by which the group is found."""
+    """Declare the replicas through which a process finds the control group."""
     return setting(
-        parse_some_addresses,
+        parse_nonempty_addresses,
         f"comma-separated {ADDRESS_FORM}, at least one",
-        "HTTP addresses of some catalog control replicas, the same order everywhere.",
+        "HTTP addresses of some catalog control replicas, in the same order "
+        "everywhere.",
     )
 
 
 def header_field(help: str, default: str) -> Any:
-    """Declare the configurable name of a header."""
+    """Declare a setting for the name of a header."""
     return setting(parse_header, "a header's name, or nothing", help, default)
--- a/src/cinderway/_settings/_file.py
+++ b/src/cinderway/_settings/_file.py
@@ -1,4 +1,4 @@
-"""The settings file: a TOML file with further settings by name."""
+"""The settings file: a TOML file with settings by name."""
 
 import dataclasses
 import tomllib
@@ -10,10 +10,10 @@
 
 
 def with_settings_file(given: dict[str, str | None]) -> dict[str, str | None]:
-    """Return the texts given, completed from the settings file that they name.
+    """Add the values from the settings file, if `given` names one.
 
-    Flags and environment variables go before the file. Raises CinderwayError with
-    SETTING_INVALID when the file cannot be read as TOML.
+    Flags and environment variables take precedence over the file. Raises CinderwayError
+    with SETTING_INVALID if the file cannot be read or is not valid TOML.
     """
     path = given.get("settings_file")
     if not path:
@@ -23,22 +23,26 @@
 
 
 def read_settings_file(path: Path) -> dict[str, str]:
-    """Return a settings file's values as texts; a list's parts joined by commas."""
+    """Return the values in a settings file as texts; list items joined by commas.
+
+    Raises CinderwayError with SETTING_INVALID if the file cannot be read or is not
+    valid TOML.
+    """
     try:
         content = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise CinderwayError(
             ErrorCode.SETTING_INVALID,
-            f"the settings file {path} cannot be read: {error}",
+            f"cannot read the settings file {path}: {error}",
             step=Step.START,
         ) from error
     return {name: _text_of(value) for name, value in content.items()}
 
 
 def changed_settings(settings: Any, texts: dict[str, str]) -> Any:
-    """Return the settings with the values that a changed file gives.
+    """Return a copy of the settings with the values from a changed file.
 
-    Raises CinderwayError with SETTING_INVALID and changes nothing if one is wrong.
+    Raises CinderwayError with SETTING_INVALID if one of the values is invalid.
     """
     values = {}
     for name, declared in settings_of(type(settings)).items():
--- a/src/cinderway/_settings/_parsers.py
+++ b/src/cinderway/_settings/_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of settings' texts: each returns the value or raises ValueError."""
+"""Parsers for the texts of settings: each returns a value or raises ValueError."""
 
 import math
 import re
@@ -13,7 +13,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return an IP number and port as `IP-number:port`."""
+    """Check that the text has the form `IP-number:port` and return it."""
     match = ADDRESS.fullmatch(text)
     if match is None or int(match[2]) > 65535:
         raise ValueError(text)
@@ -21,17 +21,17 @@
 
 
 def parse_optional_address(text: str) -> Address:
-    """Return an address, or the empty text for none."""
+    """Return an address, or an empty string for an empty text."""
     return parse_address(text) if text else Address("")
 
 
 def parse_addresses(text: str) -> tuple[Address, ...]:
-    """Return comma-separated addresses; there may be none."""
+    """Return a tuple of comma-separated addresses, which may be empty."""
     return tuple(parse_address(part) for part in text.split(",") if part)
 
 
-def parse_some_addresses(text: str) -> tuple[Address, ...]:
-    """Return comma-separated addresses, at least one."""
+def parse_nonempty_addresses(text: str) -> tuple[Address, ...]:
+    """Return a tuple of at least one comma-separated address."""
     addresses = parse_addresses(text)
     if not addresses:
         raise ValueError(text)
@@ -39,38 +39,38 @@
 
 
 def parse_groups(text: str) -> tuple[tuple[Address, ...], ...]:
-    """Return groups of addresses, separated by semicolons."""
+    """Return groups of comma-separated addresses; semicolons separate the groups."""
     return tuple(parse_addresses(group) for group in text.split(";") if group)
 
 
 def parse_url(text: str) -> str:
-    """Return a URL whose host is an IP number, or the empty text."""
+    """Check that the text is empty or a URL whose host is an IP number; return it."""
     if text and not URL.fullmatch(text):
         raise ValueError(text)
     return text
 
 
 def parse_name(text: str) -> str:
-    """Return a name as entries, data halls and headers have."""
+    """Check that the text is a name of an entry, data hall or header; return it."""
     if not NAME.fullmatch(text):
         raise ValueError(text)
     return text
 
 
 def parse_header(text: str) -> bytes:
-    """Return a header's name in lower case, or empty bytes for none."""
+    """Return a header's name in lower case, or empty bytes for an empty text."""
     return parse_name(text).lower().encode() if text else b""
 
 
 def parse_key(text: str) -> bytes:
-    """Return a shared key, which must not be too short to be secret."""
+    """Return a shared key, which must be long enough not to be guessed."""
     if len(text) < SHARED_KEY_MIN_CHARACTERS:
         raise ValueError(text)
     return text.encode()
 
 
-def integer(minimum: int, maximum: int) -> Callable[[str], int]:
-    """Return a parser of whole numbers from `minimum` to `maximum`."""
+def integer_parser(minimum: int, maximum: int) -> Callable[[str], int]:
+    """Return a parser for integers from `minimum` to `maximum`."""
 
     def parse(text: str) -> int:
         value = int(text)
@@ -81,8 +81,8 @@
     return parse
 
 
-def number_or(default: float) -> Callable[[str], float]:
-    """Return a parser of numbers from 0 on; the empty text stands for the default."""
+def number_parser(default: float) -> Callable[[str], float]:
+    """Return a parser for numbers >= 0 that maps an empty text to the default."""
 
     def parse(text: str) -> float:
         value = float(text) if text else default
@@ -94,7 +94,7 @@
 
 
 def one_of(*options: str) -> Callable[[str], str]:
-    """Return a parser that takes just these texts."""
+    """Return a parser that accepts only the given texts."""
 
     def parse(text: str) -> str:
         if text not in options:
@@ -104,6 +104,6 @@
     return parse
 
 
-def parse_flag(text: str) -> bool:
-    """Return whether the text is `true`, not `false`, in any case."""
+def parse_boolean(text: str) -> bool:
+    """Parse `true` or `false`, ignoring case."""
     return {"true": True, "false": False}[one_of("true", "false")(text.lower())]
--- a/src/cinderway/_settings/_table_roles.py
+++ b/src/cinderway/_settings/_table_roles.py
@@ -1,4 +1,4 @@
-"""Settings of the roles around the service table, and of operators' commands."""
+"""Settings of the roles that use the service table, and of operators' commands."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -15,7 +15,7 @@
     shared_key_field,
 )
 from cinderway._settings._parsers import (
-    integer,
+    integer_parser,
     parse_address,
     parse_addresses,
     parse_groups,
@@ -34,13 +34,15 @@
         f"comma-separated {ADDRESS_FORM}",
         "All replicas of the group.",
     )
-    data_folder: Path = setting(Path, "a folder's path", "Where state is kept.")
+    data_folder: Path = setting(
+        Path, "a folder's path", "Folder for the replica's state."
+    )
     shared_key: bytes = shared_key_field()
     operators_listen: Address = operators_listen_field()
     compact_at_kib: int = setting(
-        integer(64, 1_048_576),
+        integer_parser(64, 1_048_576),
         "64 to 1048576 KiB",
-        "Size of the log at which it is replaced by a snapshot.",
+        "Size of the log at which a snapshot replaces it.",
         "4096",
     )
     log_format: str = log_format_field()
@@ -49,13 +51,15 @@
 
 @dataclass(frozen=True, kw_only=True)
 class EntrySettings:
-    """Settings of an entry."""
+    """Settings of an entry that routes requests by the service table."""
 
     name: EntryName = setting(parse_name, NAME_FORM, "Name of this entry in the fleet.")
-    data_hall: DataHall = setting(parse_name, NAME_FORM, "Data hall that it stands in.")
+    data_hall: DataHall = setting(
+        parse_name, NAME_FORM, "Data hall in which the process runs."
+    )
     listen: Address = listen_field()
     callers_listen: Address = setting(
-        parse_address, ADDRESS_FORM, "Where callers' HTTP requests are taken."
+        parse_address, ADDRESS_FORM, "Address for callers' HTTP requests."
     )
     control: tuple[Address, ...] = setting(
         parse_addresses, f"comma-separated {ADDRESS_FORM}", "All control replicas."
@@ -63,13 +67,13 @@
     ledger: tuple[tuple[Address, ...], ...] = setting(
         parse_groups,
         "ledger groups separated by ;, each comma-separated IP-number:port",
-        "All ledger replicas. The same value on every entry.",
+        "All ledger replicas; the value must be the same on every entry.",
         "",
     )
     peers: tuple[Address, ...] = setting(
         parse_addresses,
         f"comma-separated {ADDRESS_FORM}",
-        "Some other entries, to find the fleet by when control is away.",
+        "Some other entries, to join the fleet while no control replica is reachable.",
         "",
     )
     shared_key: bytes = shared_key_field()
@@ -77,31 +81,32 @@
     platform_list: str = setting(
         parse_url,
         "http://IP-number:port/path, or nothing",
-        "The platform's list of live and leaving instances.",
+        "URL of the platform's list of live and leaving instances.",
         "",
     )
     caller_header: str = setting(
         parse_name,
         "a header's name",
-        "Request header that names the caller; without it the IP number does.",
+        "Request header with the caller's name; without it, the IP number is used.",
         "X-Caller",
     )
     drain_ms: int = setting(
-        integer(0, 600_000),
+        integer_parser(0, 600_000),
         "0 to 600000 ms",
-        "How long a stopping entry goes on accepting while the balancer's list lags.",
+        "How long a stopping entry still accepts connections, as the load balancer "
+        "removes it with a delay.",
         "5000",
     )
     body_limit_kib: int = setting(
-        integer(1, 1_048_576),
+        integer_parser(1, 1_048_576),
         "1 to 1048576 KiB",
-        "Largest request body that is taken.",
+        "Largest request body that is accepted.",
         "1024",
     )
     answer_limit_kib: int = setting(
-        integer(1, 1_048_576),
+        integer_parser(1, 1_048_576),
         "1 to 1048576 KiB",
-        "Largest answer that is held whole; larger ones need a streaming service.",
+        "Largest response that is buffered; larger ones need a streaming service.",
         "4096",
     )
     log_format: str = log_format_field()
--- a/src/cinderway/_settings_watch.py
+++ b/src/cinderway/_settings_watch.py
@@ -1,7 +1,7 @@
-"""Take over changes of the settings file while the process runs.
+"""Reload the settings file while the process runs.
 
-The file is read again at SIGHUP and every few seconds. The process is handed the new
-settings as a whole and decides which of them it can change without a restart.
+The file is read again on SIGHUP and every few seconds. The process gets the complete
+new settings and decides which of them it can change without a restart.
 """
 
 import logging
@@ -17,14 +17,15 @@
 
 logger = logging.getLogger(__name__)
 
-# A changed file is noticed within this time without a signal.
-POLL_S = 2.0
+# Without a signal, a change to the file is detected within this time.
+POLL_INTERVAL_S = 2.0
 
 
 class SettingsWatch:
-    """Watches one settings file, if the process has one.
+    """Watches the settings file of a process, if it has one.
 
-    A file that cannot be read or is not valid changes nothing, and one line says so.
+    If the file cannot be read or is invalid, the current settings stay in force. Each
+    error is logged once, not at every poll.
     """
 
     def __init__(self, settings: Any, on_change: Callable[[Any], None]):
@@ -33,19 +34,23 @@
         path = settings.settings_file
         self._path = Path(path) if path else None
         self._texts = read_settings_file(self._path) if self._path else {}
-        self._told = ""
+        self._last_reported_error = ""
 
     async def run(self) -> None:
-        """Look at SIGHUP and from time to time; SIGHUP ends no process."""
+        """Check the file on SIGHUP and at every poll interval, until cancelled.
+
+        Without a settings file there is no polling, but SIGHUP is still handled, as its
+        default action would end the process.
+        """
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
             while True:
-                with anyio.move_on_after(POLL_S if self._path else None):
+                with anyio.move_on_after(POLL_INTERVAL_S if self._path else None):
                     await anext(signals)
                     logger.info("SIGHUP: reading the settings again")
-                self.look()
+                self.reload_if_changed()
 
-    def look(self) -> None:
-        """Take over what the file says now."""
+    def reload_if_changed(self) -> None:
+        """Apply the file's current contents if they have changed."""
         if self._path is None:
             return
         try:
@@ -54,10 +59,10 @@
                 return
             settings = changed_settings(self._settings, texts)
         except CinderwayError as error:
-            if self._told != str(error):
-                logger.warning("the old settings stay: %s", error)
-                self._told = str(error)
+            if self._last_reported_error != str(error):
+                logger.warning("keeping the current settings: %s", error)
+                self._last_reported_error = str(error)
             return
-        self._texts, self._settings, self._told = texts, settings, ""
-        logger.info("took over the changed settings")
+        self._texts, self._settings, self._last_reported_error = texts, settings, ""
+        logger.info("applying the changed settings")
         self._on_change(settings)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""All tests. Hypothesis runs derandomized, so that every run gives one verdict."""
+"""All tests. Hypothesis is derandomized, so that all runs have the same result."""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/_cli/test_cli.py
+++ b/tests/_cli/test_cli.py
@@ -1,4 +1,4 @@
-"""Bad input gets one clear coded error."""
+"""Invalid input to commands is refused with one error that has a code."""
 
 import unittest
 
@@ -38,7 +38,7 @@
         self.assertIn("[setting-invalid]", result.output)
         self.assertIn(wanted, result.output)
 
-    def test_bad_values_are_refused_with_what_was_given_and_is_allowed(self):
+    def test_invalid_values_are_refused_with_the_given_and_allowed_values(self):
         self.assert_refused("--listen (CINDERWAY_LISTEN): given 'suva'", listen="suva")
         self.assert_refused("given '99999999'; allowed: 0 to", drain_ms="99999999")
         self.assert_refused("allowed: human | json", log_format="xml")
@@ -54,7 +54,7 @@
         with self.assertRaises(AttributeError):
             settings.drain_ms = 1
 
-    def test_each_default_is_allowed(self):
+    def test_each_default_is_valid(self):
         for kind in (EntrySettings, ReplicaSettings, OperatorSettings):
             for name, declared in settings_of(kind).items():
                 if isinstance(declared.default, str):
@@ -68,18 +68,18 @@
 
 
 class TableCommandTest(unittest.TestCase):
-    def test_unreachable_control_is_one_coded_error(self):
+    def test_unreachable_control_gives_an_error_with_a_code(self):
         result = run("table", "status", control="127.0.0.1:1", shared_key=KEY)
         self.assertEqual(result.exit_code, 1)
         self.assertIn("[peer-unreachable]", result.output)
 
-    def test_unknown_column_is_refused_before_anything_is_sent(self):
+    def test_unknown_column_is_refused_without_a_request(self):
         arguments = ("table", "set", "servers", "s1", "color", "red")
         result = run(*arguments, control="127.0.0.1:1", shared_key=KEY)
         self.assertEqual(result.exit_code, 2)
         self.assertIn("[cell-invalid]", result.output)
 
-    def test_columns_are_explained_from_their_declaration(self):
+    def test_columns_are_listed_with_their_allowed_values(self):
         result = run("table", "columns", "services")
         self.assertIn("floor_percent", result.output)
         self.assertIn("allowed: detect-soon | balanced | eject-rarely", result.output)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Time that passes for others passes here, too."""
+"""The monotonic clock includes the time of a suspension."""
 
 import time
 import unittest
@@ -10,9 +10,10 @@
 
 
 class ClockTests(unittest.TestCase):
-    def test_the_time_of_a_suspension_counts(self):
-        """A suspended instance's steady clock stands still; what was granted to it, and
-        what it promised for a while, was over for all others when it woke.
+    def test_monotonic_time_includes_a_suspension(self):
+        """CLOCK_MONOTONIC stops while an instance is suspended. With it, an instance
+        would still rely on its leases, and still be bound by its own promises, after
+        they have expired for all other processes.
         """
         times_ns = {time.CLOCK_MONOTONIC: SECOND_NS, time.CLOCK_BOOTTIME: SECOND_NS}
 
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -1,4 +1,4 @@
-"""Starting a daemon from its environment, as its own process."""
+"""Daemons that are started without the command line, as processes of their own."""
 
 import os
 import subprocess
@@ -20,18 +20,18 @@
 
 
 class LaunchTests(unittest.TestCase):
-    def test_an_unknown_role_is_bad_input_and_the_error_names_all_roles(self):
+    def test_an_unknown_role_is_refused_with_the_names_of_all_roles(self):
         for arguments in ((), ("gateway",)):
             ended = launch(*arguments)
             self.assertEqual(ended.returncode, 2)
             self.assertIn("catalog-entry", ended.stderr)
 
-    def test_a_missing_setting_is_bad_input_and_named(self):
+    def test_a_missing_setting_is_refused_by_name(self):
         ended = launch("catalog-entry", CINDERWAY_NAME="e1")
         self.assertEqual(ended.returncode, 2)
         self.assertIn("CINDERWAY_DATA_HALL", ended.stderr)
 
-    def test_a_settings_file_that_cannot_be_read_is_bad_input(self):
+    def test_an_unreadable_settings_file_is_refused_by_path(self):
         ended = launch("catalog-control", CINDERWAY_SETTINGS_FILE="/nowhere.toml")
         self.assertEqual(ended.returncode, 2)
         self.assertIn("/nowhere.toml", ended.stderr)
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -1,3 +1,5 @@
+"""Reading the settings file, and reloading it while the process runs."""
+
 import os
 import signal
 import tempfile
@@ -44,17 +46,17 @@
     def watch(self):
         return SettingsWatch(self.settings(), self.seen.append)
 
-    def test_flags_go_before_the_file(self):
+    def test_flags_take_precedence_over_the_file(self):
         given = {"settings_file": str(self.path), "name": "other", "data_hall": None}
         completed = with_settings_file(given)
         self.assertEqual((completed["name"], completed["data_hall"]), ("other", "suva"))
 
-    def test_lists_and_flags_are_read_from_toml(self):
+    def test_lists_and_booleans_are_read_from_toml(self):
         self.path.write_text('seeds = ["a", "b"]\nis_first_start = true\nport = 7\n')
         texts = read_settings_file(self.path)
         self.assertEqual(texts, {"seeds": "a,b", "is_first_start": "true", "port": "7"})
 
-    def test_a_file_without_a_needed_field_is_refused(self):
+    def test_a_file_without_a_required_field_is_refused(self):
         for name in GIVEN:
             with self.subTest(name):
                 self.write({k: v for k, v in GIVEN.items() if k != name})
@@ -62,47 +64,47 @@
                     self.settings()
                 self.assertIn(name.replace("_", "-"), caught.exception.detail)
 
-    def test_values_of_another_type_are_refused(self):
+    def test_invalid_values_are_refused(self):
         for wrong in ({"control_port": "many"}, {"seeds": ""}, {"name": "a b"}):
             with self.subTest(wrong):
                 self.write({**GIVEN, **wrong})
                 with self.assertRaises(CinderwayError):
                     self.settings()
 
-    def test_unknown_fields_are_passed_over(self):
+    def test_unknown_fields_are_ignored(self):
         self.write({**GIVEN, "later": "x"})
         self.assertEqual(self.settings().name, "suva-1")
 
-    def test_a_changed_file_is_taken_over(self):
+    def test_a_changed_file_is_applied(self):
         watch = self.watch()
         self.write({**GIVEN, "seeds": "10.0.0.9:80"})
-        watch.look()
+        watch.reload_if_changed()
         self.assertEqual(self.seen[0].seeds, ("10.0.0.9:80",))
 
-    def test_an_unchanged_file_is_no_news(self):
+    def test_an_unchanged_file_does_not_call_on_change(self):
         watch = self.watch()
-        watch.look()
+        watch.reload_if_changed()
         self.assertEqual(self.seen, [])
 
-    def test_nonsense_changes_nothing_and_is_told_once(self):
+    def test_an_invalid_file_changes_nothing_and_is_logged_once(self):
         watch = self.watch()
         with self.assertLogs("cinderway", "WARNING") as logs:
             for _ in range(3):
                 self.write({**GIVEN, "seeds": "nonsense"})
-                watch.look()
+                watch.reload_if_changed()
         self.assertEqual((len(logs.output), self.seen), (1, []))
         with self.assertLogs("cinderway", "WARNING"):
             self.path.write_text("{ no toml")
-            watch.look()
+            watch.reload_if_changed()
         self.write({**GIVEN, "seeds": "10.0.0.9:80"})
-        watch.look()
+        watch.reload_if_changed()
         self.assertEqual(len(self.seen), 1)
 
     def test_a_missing_file_changes_nothing(self):
         watch = self.watch()
         os.remove(self.path)
         with self.assertLogs("cinderway", "WARNING"):
-            watch.look()
+            watch.reload_if_changed()
         self.assertEqual(self.seen, [])
 
 
