--- a/src/cinderway/_cli/_accounts.py
+++ b/src/cinderway/_cli/_accounts.py
@@ -16,31 +16,31 @@
 def accounts(replicas: Replicas) -> None:
     """List client accounts without their keys, with their use at all given replicas."""
     with exit_on_error():
-        listed = [
+        uses_by_replica = [
             _decoder.decode(get_from_replica(replica, ACCOUNTS_PATH))
             for replica in replicas
         ]
         print("\t".join(HEADER))
-        for line in sum_uses(listed):
+        for line in sum_uses(uses_by_replica):
             print("\t".join(_format_row(line)))
 
 
-def sum_uses(listed: Iterable[list[AccountUse]]) -> list[AccountUse]:
+def sum_uses(uses_by_replica: Iterable[list[AccountUse]]) -> list[AccountUse]:
     """Return each account once, with the sum of its uses at all replicas."""
-    found: dict[str, AccountUse] = {}
-    for use in (use for uses in listed for use in uses):
-        known = found.get(use.name)
-        if known is None:
-            found[use.name] = use
+    totals: dict[str, AccountUse] = {}
+    for use in (use for uses in uses_by_replica for use in uses):
+        total = totals.get(use.name)
+        if total is None:
+            totals[use.name] = use
             continue
-        share = None if use.share is None else use.share + (known.share or 0.0)
-        found[use.name] = msgspec.structs.replace(
+        share = None if use.share is None else use.share + (total.share or 0.0)
+        totals[use.name] = msgspec.structs.replace(
             use,
-            charged=use.charged + known.charged,
+            charged=use.charged + total.charged,
             share=share,
-            borrowed=use.borrowed + known.borrowed,
+            borrowed=use.borrowed + total.borrowed,
         )
-    return list(found.values())
+    return list(totals.values())
 
 
 def _format_row(use: AccountUse) -> list[str]:
--- a/src/cinderway/_cli/_claims.py
+++ b/src/cinderway/_cli/_claims.py
@@ -34,14 +34,16 @@
 @with_settings(OperatorSettings)
 def list_claims(settings: OperatorSettings) -> None:
     """Print the claims whose outcome is unknown, oldest first."""
-    found = call_ledger(settings, lambda ledger, at: ledger.in_doubt(LIST_LIMIT, at))
-    for record in found:
+    records = call_ledger(
+        settings, lambda ledger, deadline_ms: ledger.in_doubt(LIST_LIMIT, deadline_ms)
+    )
+    for record in records:
         name = record.name
         print(
             f"{name.service} {name.caller} {name.key} "
             f"attempt {record.attempt_id} by {record.entry}, {record.age_ms} ms ago"
         )
-    print(f"{len(found)} in doubt")
+    print(f"{len(records)} in doubt")
 
 
 @claims.command()
@@ -57,5 +59,7 @@
 ) -> None:
     """Record the outcome that the backend server's own records show."""
     request = Settle(ClaimName(service, caller, key), RESOLUTIONS[outcome])
-    call_ledger(settings, lambda ledger, at: ledger.settle(request, at))
+    call_ledger(
+        settings, lambda ledger, deadline_ms: ledger.settle(request, deadline_ms)
+    )
     print(f"settled as {outcome.value}")
--- a/src/cinderway/_cli/_report.py
+++ b/src/cinderway/_cli/_report.py
@@ -103,15 +103,15 @@
     ] = 8,
 ) -> None:
     """Print from entries' logs why requests were not answered, by service."""
-    for service, found in sorted(losses_of(_request_lines(logs)).items()):
+    for service, stats in sorted(losses_of(_request_lines(logs)).items()):
         print(
-            f"{service}: {len(found.answered_ms)} answered, half of them within "
-            f"{found.time_ms(50):.0f} ms and 95 of 100 within {found.time_ms(95):.0f} "
-            f"ms; {found.lost} not answered ({found.lost_percent:.1f}%)"
+            f"{service}: {len(stats.answered_ms)} answered, half of them within "
+            f"{stats.time_ms(50):.0f} ms and 95 of 100 within {stats.time_ms(95):.0f} "
+            f"ms; {stats.lost} not answered ({stats.lost_percent:.1f}%)"
         )
-        for reason, count in found.reasons.most_common(most):
+        for reason, count in stats.reasons.most_common(most):
             print(f"  {count:6} {reason}")
-        for server, count in found.servers.most_common(most):
+        for server, count in stats.servers.most_common(most):
             print(f"  {count:6} of them had gone to {server}")
 
 
@@ -126,8 +126,8 @@
 
     All logs are evaluated together. Only requests that went to a single server count.
     """
-    found = runs_by_service(filter(None, map(parse_run, _log_lines(logs))))
-    for name, service in sorted(found.items()):
+    services = runs_by_service(filter(None, map(parse_run, _log_lines(logs))))
+    for name, service in sorted(services.items()):
         if server is not None:
             _print_runs(service.runs.get(server, []))
             continue
--- a/src/cinderway/_cli/_table.py
+++ b/src/cinderway/_cli/_table.py
@@ -97,9 +97,9 @@
         )
     text = format_cell(parse_cell(declared, value))
     answer, current = _read_table(settings)
-    found = current.get(RowKey(sheet, row))
+    current_row = current.get(RowKey(sheet, row))
     if seen_revision is None:
-        seen_revision = found.cell_revision(column) if found else 0
+        seen_revision = current_row.cell_revision(column) if current_row else 0
     change = Change(Action.SET, sheet, row, column, text, seen_revision)
     sequence = answer.sequence if seen_sequence is None else seen_sequence
     _submit(settings, sequence, [change], edit_id)
@@ -188,25 +188,25 @@
     if not answer.is_current:
         return
     for replica in answer.replicas:
-        kind = "voter" if replica.is_voter else "learner, not repaired yet"
-        heard = "silent" if replica.is_silent else "heard"
+        role = "voter" if replica.is_voter else "learner, not repaired yet"
+        state = "silent" if replica.is_silent else "heard"
         print(
-            f"  replica {replica.replica_id:x} at {replica.address}: {kind}, {heard}, "
+            f"  replica {replica.replica_id:x} at {replica.address}: {role}, {state}, "
             f"log up to {replica.match_index} of {answer.commit_index}"
         )
 
 
 def _print_entries(answers: list[StatusAnswer]) -> None:
-    newest = {}
+    newest_by_name = {}
     for answer in answers:
         for entry in answer.entries:
-            known = newest.get(entry.name)
+            known = newest_by_name.get(entry.name)
             if known is None or entry.heard_ago_ms < known.heard_ago_ms:
-                newest[entry.name] = entry
-    for name, entry in sorted(newest.items()):
+                newest_by_name[entry.name] = entry
+    for name, entry in sorted(newest_by_name.items()):
         print(
             f"entry {name} in {entry.data_hall}: {entry.state}, "
-            f"revision {entry.revision}, heard {entry.heard_ago_ms} ms ago"
+            f"revision {entry.revision}, last heard from {entry.heard_ago_ms} ms ago"
         )
 
 
@@ -234,11 +234,11 @@
 ) -> None:
     operator = getpass.getuser()
     edit = Edit(EditId(edit_id or str(uuid.uuid4())), operator, sequence, changes)
-    resend = f"--edit-id {edit.edit_id} --seen-sequence {sequence}"
+    resend_options = f"--edit-id {edit.edit_id} --seen-sequence {sequence}"
     try:
         answer: EditAnswer = call_control(settings, SubmitEdit(edit))
     except CinderwayError as error:
-        print(f"no answer; resend with {resend}", file=sys.stderr)
+        print(f"no answer; resend with {resend_options}", file=sys.stderr)
         raise error
     if answer.verdict is Verdict.ACCEPTED:
         print(f"accepted at revision {answer.revision}")
--- a/src/cinderway/_logging.py
+++ b/src/cinderway/_logging.py
@@ -41,7 +41,7 @@
         self.dropped = 0
         self._descriptor = descriptor
         self._lines_per_s = lines_per_s
-        self._window_s = 0
+        self._window_start_s = 0
         self._lines_in_window = 0
         self._unsent = b""
         os.set_blocking(descriptor, False)
@@ -49,8 +49,8 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Write the record as a line, or count it as dropped."""
         second = int(time.monotonic())
-        if second != self._window_s:
-            self._window_s, self._lines_in_window = second, 0
+        if second != self._window_start_s:
+            self._window_start_s, self._lines_in_window = second, 0
         self._lines_in_window += 1
         is_urgent = record.levelno >= logging.WARNING
         if self._lines_in_window > self._lines_per_s * (2 if is_urgent else 1):
@@ -81,10 +81,10 @@
         return True
 
 
-def configure_logging(form: str, level: str) -> None:
-    """Write log lines to standard output, as JSON if `form` is "json"."""
+def configure_logging(line_format: str, level: str) -> None:
+    """Write log lines to standard output, as JSON if `line_format` is "json"."""
     handler = BoundedHandler(sys.stdout.fileno())
-    if form == "json":
+    if line_format == "json":
         handler.setFormatter(_JsonFormatter())
     else:
         handler.setFormatter(logging.Formatter(HUMAN_FORMAT))
--- a/src/cinderway/_settings/_declaration.py
+++ b/src/cinderway/_settings/_declaration.py
@@ -66,7 +66,7 @@
         if text is None:
             text = declared.default
         if text is REQUIRED:
-            raise _invalid(name, "nothing", declared.allowed)
+            raise _build_invalid_error(name, "nothing", declared.allowed)
         values[name] = parse_setting(name, declared, text)
     return settings_class(**values)
 
@@ -81,10 +81,10 @@
         return declared.parse(text)
     except (ValueError, KeyError):
         shown = "a value" if "key" in name else repr(text)
-        raise _invalid(name, shown, declared.allowed) from None
+        raise _build_invalid_error(name, shown, declared.allowed) from None
 
 
-def _invalid(name: str, given: str, allowed: str) -> CinderwayError:
+def _build_invalid_error(name: str, given: str, allowed: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.SETTING_INVALID,
         f"{get_flag(name)} ({environment_variable_of(name)}): "
--- a/src/cinderway/_settings/_file.py
+++ b/src/cinderway/_settings/_file.py
@@ -36,7 +36,7 @@
             f"cannot read the settings file {path}: {error}",
             step=Step.START,
         ) from error
-    return {name: _text_of(value) for name, value in content.items()}
+    return {name: _format_value(value) for name, value in content.items()}
 
 
 def changed_settings(settings: Any, texts: dict[str, str]) -> Any:
@@ -51,11 +51,11 @@
     return dataclasses.replace(settings, **values)
 
 
-def _text_of(value: Any) -> str:
+def _format_value(value: Any) -> str:
     match value:
         case bool():
             return str(value).lower()
         case list():
-            return ",".join(_text_of(part) for part in value)
+            return ",".join(_format_value(part) for part in value)
         case _:
             return str(value)
--- a/tests/_cli/test_cli.py
+++ b/tests/_cli/test_cli.py
@@ -26,17 +26,17 @@
 }
 
 
-def run(*arguments, **environment):
+def run_command(*arguments, **environment):
     variables = {environment_variable_of(k): v for k, v in environment.items()}
     return CliRunner().invoke(app, arguments, env=variables)
 
 
 class SettingsTest(unittest.TestCase):
-    def assert_refused(self, wanted, **changes):
-        result = run("entry", **{**ENTRY, **changes})
+    def assert_refused(self, expected_text, **changes):
+        result = run_command("entry", **{**ENTRY, **changes})
         self.assertEqual(result.exit_code, 2)
         self.assertIn("[setting-invalid]", result.output)
-        self.assertIn(wanted, result.output)
+        self.assertIn(expected_text, result.output)
 
     def test_invalid_values_are_refused_with_the_given_and_allowed_values(self):
         self.assert_refused("--listen (CINDERWAY_LISTEN): given 'suva'", listen="suva")
@@ -45,7 +45,7 @@
         self.assert_refused("port 0 to 65535", callers_listen="127.0.0.1:70000")
 
     def test_refused_key_is_not_printed(self):
-        result = run("entry", **{**ENTRY, "shared_key": "short-secret"})
+        result = run_command("entry", **{**ENTRY, "shared_key": "short-secret"})
         self.assertNotIn("short-secret", result.output)
         self.assertEqual(result.exit_code, 2)
 
@@ -69,17 +69,17 @@
 
 class TableCommandTest(unittest.TestCase):
     def test_unreachable_control_gives_an_error_with_a_code(self):
-        result = run("table", "status", control="127.0.0.1:1", shared_key=KEY)
+        result = run_command("table", "status", control="127.0.0.1:1", shared_key=KEY)
         self.assertEqual(result.exit_code, 1)
         self.assertIn("[peer-unreachable]", result.output)
 
     def test_unknown_column_is_refused_without_a_request(self):
         arguments = ("table", "set", "servers", "s1", "color", "red")
-        result = run(*arguments, control="127.0.0.1:1", shared_key=KEY)
+        result = run_command(*arguments, control="127.0.0.1:1", shared_key=KEY)
         self.assertEqual(result.exit_code, 2)
         self.assertIn("[cell-invalid]", result.output)
 
     def test_columns_are_listed_with_their_allowed_values(self):
-        result = run("table", "columns", "services")
+        result = run_command("table", "columns", "services")
         self.assertIn("floor_percent", result.output)
         self.assertIn("allowed: detect-soon | balanced | eject-rarely", result.output)
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -10,10 +10,10 @@
 
 
 def launch(*arguments, **environment):
-    own = {"PYTHONPATH": str(SOURCES), "PATH": os.environ["PATH"], **environment}
+    variables = {"PYTHONPATH": str(SOURCES), "PATH": os.environ["PATH"], **environment}
     return subprocess.run(
         [sys.executable, "-m", "cinderway._launch", *arguments],
-        env=own,
+        env=variables,
         capture_output=True,
         text=True,
     )
@@ -22,29 +22,29 @@
 class LaunchTests(unittest.TestCase):
     def test_an_unknown_role_is_refused_with_the_names_of_all_roles(self):
         for arguments in ((), ("gateway",)):
-            ended = launch(*arguments)
-            self.assertEqual(ended.returncode, 2)
-            self.assertIn("catalog-entry", ended.stderr)
+            result = launch(*arguments)
+            self.assertEqual(result.returncode, 2)
+            self.assertIn("catalog-entry", result.stderr)
 
     def test_a_missing_setting_is_refused_by_name(self):
-        ended = launch("catalog-entry", CINDERWAY_NAME="e1")
-        self.assertEqual(ended.returncode, 2)
-        self.assertIn("CINDERWAY_DATA_HALL", ended.stderr)
+        result = launch("catalog-entry", CINDERWAY_NAME="e1")
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("CINDERWAY_DATA_HALL", result.stderr)
 
     def test_an_unreadable_settings_file_is_refused_by_path(self):
-        ended = launch("catalog-control", CINDERWAY_SETTINGS_FILE="/nowhere.toml")
-        self.assertEqual(ended.returncode, 2)
-        self.assertIn("/nowhere.toml", ended.stderr)
+        result = launch("catalog-control", CINDERWAY_SETTINGS_FILE="/nowhere.toml")
+        self.assertEqual(result.returncode, 2)
+        self.assertIn("/nowhere.toml", result.stderr)
 
     def test_a_daemon_does_not_import_the_command_line(self):
         code = (
             "import sys, cinderway._launch, cinderway.entry._catalog_daemon; "
             "print({'typer', 'rich', 'cinderway._cli'} & set(sys.modules))"
         )
-        ended = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", code],
             env={"PYTHONPATH": str(SOURCES), "PATH": os.environ["PATH"]},
             capture_output=True,
             text=True,
         )
-        self.assertEqual(ended.stdout.strip(), "set()", ended.stderr)
+        self.assertEqual(result.stdout.strip(), "set()", result.stderr)
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -32,7 +32,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "settings.toml"
         self.write(GIVEN)
-        self.seen = []
+        self.applied = []
 
     def write(self, values, more=""):
         lines = [f'{name} = "{value}"' for name, value in values.items()]
@@ -44,7 +44,7 @@
         return parse_settings(CatalogEntrySettings, with_settings_file(given))
 
     def watch(self):
-        return SettingsWatch(self.settings(), self.seen.append)
+        return SettingsWatch(self.settings(), self.applied.append)
 
     def test_flags_take_precedence_over_the_file(self):
         given = {"settings_file": str(self.path), "name": "other", "data_hall": None}
@@ -65,9 +65,13 @@
                 self.assertIn(name.replace("_", "-"), caught.exception.detail)
 
     def test_invalid_values_are_refused(self):
-        for wrong in ({"control_port": "many"}, {"seeds": ""}, {"name": "a b"}):
-            with self.subTest(wrong):
-                self.write({**GIVEN, **wrong})
+        for invalid_values in (
+            {"control_port": "many"},
+            {"seeds": ""},
+            {"name": "a b"},
+        ):
+            with self.subTest(invalid_values):
+                self.write({**GIVEN, **invalid_values})
                 with self.assertRaises(CinderwayError):
                     self.settings()
 
@@ -79,12 +83,12 @@
         watch = self.watch()
         self.write({**GIVEN, "seeds": "10.0.0.9:80"})
         watch.reload_if_changed()
-        self.assertEqual(self.seen[0].seeds, ("10.0.0.9:80",))
+        self.assertEqual(self.applied[0].seeds, ("10.0.0.9:80",))
 
     def test_an_unchanged_file_does_not_call_on_change(self):
         watch = self.watch()
         watch.reload_if_changed()
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.applied, [])
 
     def test_an_invalid_file_changes_nothing_and_is_logged_once(self):
         watch = self.watch()
@@ -92,20 +96,20 @@
             for _ in range(3):
                 self.write({**GIVEN, "seeds": "nonsense"})
                 watch.reload_if_changed()
-        self.assertEqual((len(logs.output), self.seen), (1, []))
+        self.assertEqual((len(logs.output), self.applied), (1, []))
         with self.assertLogs("cinderway", "WARNING"):
             self.path.write_text("{ no toml")
             watch.reload_if_changed()
         self.write({**GIVEN, "seeds": "10.0.0.9:80"})
         watch.reload_if_changed()
-        self.assertEqual(len(self.seen), 1)
+        self.assertEqual(len(self.applied), 1)
 
     def test_a_missing_file_changes_nothing(self):
         watch = self.watch()
         os.remove(self.path)
         with self.assertLogs("cinderway", "WARNING"):
             watch.reload_if_changed()
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.applied, [])
 
 
 class SignalTests(unittest.TestCase):
