--- a/src/cinderway/_settings/_catalog_roles.py
+++ b/src/cinderway/_settings/_catalog_roles.py
@@ -156,7 +156,7 @@
         "5",
     )
     attempt_header: bytes = header_field(
-        "Header with a caller's attempt id, which every response must return.",
+        "Header with the id of an attempt, which every response must return.",
         "cinderway-attempt",
     )
     deadline_header: bytes = header_field(
