--- a/src/cinderway/_clock.py
+++ b/src/cinderway/_clock.py
@@ -1,9 +1,10 @@
 """Clocks for daemons. Decision code does not read a clock: it gets the time passed in.
 
 Leases and timeouts expire for the other processes while this instance is suspended, so
-the monotonic clock includes the time of a suspension. The event loop's timers do not
-include it and fire late. Code must therefore compare times to decide whether something
-is still valid, and must not rely on a timer that has not fired yet.
+the monotonic clock includes the time of a suspension, which is thus treated like any
+other pause of the process. The event loop's timers do not include it and fire late.
+Code must therefore compare times to decide whether something is still valid, and must
+not rely on a timer that has not fired yet.
 """
 
 import time
