--- a/src/cinderway/catalog/_mirror.py
+++ b/src/cinderway/catalog/_mirror.py
@@ -1,4 +1,7 @@
-"""An entry's copy of the catalog. Pure; it never goes back to an older revision."""
+"""An entry's copy of the catalog.
+
+Pure: no I/O. It never goes back to an older revision.
+"""
 
 import zlib
 
@@ -15,7 +18,7 @@
 
 
 class CatalogMirror:
-    """The catalog as of a revision."""
+    """A copy of the catalog as of one revision."""
 
     def __init__(self):
         self.revision = 0
@@ -23,13 +26,15 @@
         self.servers: dict[ServerName, RegisteredServer] = {}
 
     def install(self, update: CatalogUpdate) -> bool:
-        """Take an update; False if it is not newer or does not fit what is held.
+        """Apply an update; return whether it was applied.
 
-        Raises CinderwayError, and changes nothing, if it cannot be read.
+        An update is ignored if it is not newer, or if its base revision is one that
+        this copy has not reached. Raises CinderwayError, and changes nothing, if the
+        update cannot be decoded.
         """
         if update.revision <= self.revision or update.base_revision > self.revision:
             return False
-        sheet, servers = self._read(update)
+        sheet, servers = self._decode_update(update)
         if update.base_revision == 0:
             self.servers = {}
         self.sheet = sheet
@@ -40,22 +45,25 @@
         self.revision = update.revision
         return True
 
-    def _read(
+    def _decode_update(
         self, update: CatalogUpdate
     ) -> tuple[RouteSheet | None, list[RegisteredServer]]:
         try:
             servers = _servers_decoder.decode(update.servers)
             if not update.packed_sheet:
                 return self.sheet, servers
-            return self._newer(decode_sheet(unpack(update.packed_sheet))), servers
+            return self._choose_newer_sheet(
+                decode_sheet(unpack(update.packed_sheet))
+            ), servers
         except (msgspec.MsgspecError, zlib.error) as error:
             raise CinderwayError(
                 ErrorCode.FRAME_INVALID,
-                f"the update to catalog {update.revision} cannot be read: {error}",
+                f"the update to catalog revision {update.revision} cannot be decoded: "
+                f"{error}",
                 step=Step.RECEIVE,
             ) from error
 
-    def _newer(self, sheet: RouteSheet) -> RouteSheet:
+    def _choose_newer_sheet(self, sheet: RouteSheet) -> RouteSheet:
         if self.sheet is not None and sheet.version < self.sheet.version:
             return self.sheet
         return sheet
--- a/src/cinderway/entry/callers/_permits.py
+++ b/src/cinderway/entry/callers/_permits.py
@@ -1,7 +1,7 @@
-"""Leave to send one request.
+"""Permission to send one request.
 
-Its key still counts, its account has room for it, and not too many servers have ended
-under it.
+The request's key must still be valid, its account must have a token left, and the
+request must not be one that crashes servers.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,11 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway.catalog import AccountRow, RouteRow
 from cinderway.entry._catalog_board import CatalogBoard
-from cinderway.entry.callers._accounts import ANONYMOUS, Identity, identify
+from cinderway.entry.callers._accounts import (
+    ANONYMOUS,
+    AccountIdentity,
+    identify_account,
+)
 from cinderway.entry.callers._poison_permit import PoisonPermit
 from cinderway.entry.fleet._allowances import AllowanceError, Allowances
 from cinderway.entry.servers._messages import Headers
@@ -17,68 +21,69 @@
 
 @dataclass(kw_only=True)
 class RequestPermit(PoisonPermit):
-    """Leave by what is known of a request and of the account that its key belongs to.
+    """Permits a request by its digest and by the account that its key belongs to.
 
-    `identity` is what the key said when the request was looked at last.
+    `identity` is the result of the last look-up of the key.
     """
 
     state: CatalogBoard
     allowances: Allowances
     headers: Headers
-    identity: Identity = ANONYMOUS
+    identity: AccountIdentity = ANONYMOUS
     _route: RouteRow | None = None
-    # The account that the request has taken a token of.
-    _paid: AccountRow | None = None
+    # The account whose token the request holds.
+    _charged_account: AccountRow | None = None
 
-    async def take(self, route: RouteRow) -> None:
-        """Look the key up for a route, and take a token unless one is there.
+    async def acquire(self, route: RouteRow) -> None:
+        """Look up the key for a route, and acquire a token if the request has none.
 
-        Raises CinderwayError with ACCOUNT_UNKNOWN, and AllowanceError.
+        Raises CinderwayError with ACCOUNT_UNKNOWN if the route requires an account and
+        the key has none, and AllowanceError if there is no token.
         """
         self._route = route
         self.origin = route.name
-        self.identity = identify(self.state.accounts, route, self.headers)
+        self.identity = identify_account(self.state.accounts, route, self.headers)
         account = self.identity.account
-        if self._paid is not None and (
-            account is None or account.name != self._paid.name
+        if self._charged_account is not None and (
+            account is None or account.name != self._charged_account.name
         ):
-            self.give_back()
-        if account is not None and self._paid is None:
+            self.release()
+        if account is not None and self._charged_account is None:
             await self.allowances.take(account)
-            self._paid = account
+            self._charged_account = account
 
     def refusal(self) -> CinderwayError | None:
-        """Return why the request may not be sent, or not any longer."""
+        """Return why the request may not be sent, or no longer; None if it may."""
         refusal = super().refusal()
-        if refusal is not None or self._is_key_the_same():
+        if refusal is not None or self._has_same_account():
             return refusal
         return CinderwayError(
             ErrorCode.ACCOUNT_UNKNOWN,
-            "the request's key was taken away while it waited",
+            "the request's key was revoked or moved while the request waited",
             step=Step.QUEUE,
         )
 
-    def _is_key_the_same(self) -> bool:
+    def _has_same_account(self) -> bool:
         try:
-            known = identify(self.state.accounts, self._route, self.headers)
+            known = identify_account(self.state.accounts, self._route, self.headers)
         except CinderwayError:
             return False
         return known.account_name == self.identity.account_name
 
     async def renew(self) -> bool:
-        """Say whether one that may have run can be sent once more, and pay for it."""
+        """Acquire another token to send the request again after it may have run."""
         if not await super().renew():
             return False
         try:
             if self.identity.account is not None:
                 await self.allowances.take(self.identity.account)
         except AllowanceError:
-            # Counted as a refusal; what the first server says goes to the caller.
+            # Counted as a refusal; the caller gets the result of the first attempt.
             return False
         return True
 
-    def give_back(self) -> None:
-        """Return the token of a request that no server got, if it took one."""
-        paid, self._paid = self._paid, None
-        if paid is not None:
-            self.allowances.give_back(paid)
+    def release(self) -> None:
+        """Return the token of a request that no server got, if it holds one."""
+        charged, self._charged_account = self._charged_account, None
+        if charged is not None:
+            self.allowances.give_back(charged)
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -1,4 +1,4 @@
-"""Streamed answers: relayed as they come, and gone on with at another server."""
+"""Streamed answers: relayed as they arrive, and resumed at another server."""
 
 from dataclasses import dataclass
 
@@ -30,7 +30,8 @@
     ) -> None:
         """Relay one answer to its end.
 
-        Raises OutcomeError while nothing was relayed, and AnswerBrokenError after.
+        Raises OutcomeError if it fails before anything was relayed, and
+        AnswerBrokenError after that.
         """
         self.attempts.budget.earn(service)
         transfer = _Transfer(service, request, reply)
@@ -38,14 +39,14 @@
             has_attempts = attempt < ATTEMPT_LIMIT
             try:
                 if await self._attempt(transfer, has_attempts):
-                    await reply.end()
+                    await reply.send_end()
                     return
             except CinderwayError as error:
-                await self._go_on_or_raise(transfer, error, has_attempts)
+                await self._resume_or_raise(transfer, error, has_attempts)
         raise AnswerBrokenError
 
     async def _attempt(self, transfer: "_Transfer", has_attempts: bool) -> bool:
-        """Relay what one server sends; False if another is to be asked instead."""
+        """Relay what one server sends; False if another server should be tried."""
         dispatcher = self.attempts.dispatcher
         async with dispatcher.exchange(
             transfer.service,
@@ -58,15 +59,17 @@
         ) as exchange:
             answer = exchange.answer
             if transfer.download is not None:
-                if not transfer.download.fits(answer):
+                if not transfer.download.can_continue_with(answer):
                     raise AnswerBrokenError
             else:
                 is_failed = answer.status >= SERVER_ERROR
                 if is_failed and has_attempts:
-                    if await self.attempts.spend(transfer.service, transfer.request):
+                    if await self.attempts.consume_retry(
+                        transfer.service, transfer.request
+                    ):
                         return False
                 transfer.download = Download(answer)
-                await transfer.reply.begin(answer)
+                await transfer.reply.send_head(answer)
             await self._relay(transfer, exchange)
         if transfer.download.status < SERVER_ERROR:
             transfer.request.permit.note_good_run()
@@ -83,23 +86,23 @@
                     return
                 before_ms = monotonic_ms()
                 evidence.progress(exchange.attempt, len(chunk), before_ms)
-                await transfer.reply.part(chunk)
+                await transfer.reply.send_chunk(chunk)
                 transfer.download.sent_bytes += len(chunk)
                 blocked_ms = monotonic_ms() - before_ms
                 evidence.caller_blocked(exchange.attempt, blocked_ms)
         except CinderwayError:
-            # No sign of the server's end: a download that is cut goes on elsewhere, as
-            # often as it takes.
+            # Not recorded as a sign that the server ended: a download that breaks is
+            # resumed at another server, as often as necessary.
             evidence.fail(exchange.attempt, Bad.CUT)
             raise
         finally:
             await chunks.aclose()
 
-    async def _go_on_or_raise(
+    async def _resume_or_raise(
         self, transfer: "_Transfer", error: CinderwayError, has_attempts: bool
     ) -> None:
         outcome = outcome_of_attempt(error)
-        is_retried = await self.attempts.may_retry(
+        is_retried = await self.attempts.acquire_retry(
             transfer.service, error, outcome, True, has_attempts, transfer.request
         )
         if transfer.download is None and not is_retried:
@@ -110,7 +113,7 @@
 
 
 class _Transfer:
-    """One caller's answer over all the servers that it comes from."""
+    """One caller's streamed answer, over all the servers that it comes from."""
 
     def __init__(self, service: ServiceState, request: CallerRequest, reply: Reply):
         self.service = service
@@ -120,13 +123,16 @@
         self.request = request
 
     def next_request(self):
-        """Return what to ask the next server for: all, or the rest."""
+        """Return the request for the next server: for the whole body or its rest."""
         if self.download is None:
             return self.request.backend_request
-        return self.download.resume_request(self.request.backend_request)
+        return self.download.build_resume_request(self.request.backend_request)
 
     def deadline_ms(self) -> int:
-        """The caller's deadline is for the first byte; later only stalls count."""
+        """Return the deadline of the next attempt.
+
+        The caller's deadline applies to the first byte; after it only stalls count.
+        """
         if self.download is None:
             return self.request.deadline_ms
         return monotonic_ms() + self.service.row.request_timeout_ms
--- a/src/cinderway/routing/__init__.py
+++ b/src/cinderway/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which service a request belongs to, and which backend server gets it."""
+"""Routing: the service of a request and the choice of a backend server for it."""
 
 from cinderway.routing._choose import (
     USUAL_PENALTIES,
@@ -9,11 +9,11 @@
     own_subset,
     rank_of,
 )
-from cinderway.routing._load import LOAD_FADES_MS, faded_load
+from cinderway.routing._load import LOAD_DECAY_MS, faded_load
 from cinderway.routing._routes import RouteMatch, RouteTable
 
 __all__ = [
-    "LOAD_FADES_MS",
+    "LOAD_DECAY_MS",
     "USUAL_PENALTIES",
     "Candidate",
     "Penalties",
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -50,7 +50,7 @@
     Guard(
         "only a log that is as new gets a vote",
         ELECTIONS,
-        "        if (request.last_term, request.last_index) < own_end:\n"
+        "        if (request.last_term, request.last_index) < own_last:\n"
         "            return False\n",
         "",
         CORE_TESTS,
@@ -66,14 +66,14 @@
     Guard(
         "a replica that hears a leader neither votes nor takes the term",
         ELECTIONS,
-        "if self._hears_leader() and not request.is_transfer:",
+        "if self._has_leader_contact() and not request.is_transfer:",
         "if False:",
         CORE_TESTS,
     ),
     Guard(
         "a leader that hears no quorum steps down",
         CORE,
-        "        if not self._leader_log.hears_quorum():\n"
+        "        if not self._leader_log.has_quorum_contact():\n"
         "            self._become_follower(self.term)\n            return\n",
         "",
         CORE_TESTS,
@@ -117,17 +117,17 @@
     Guard(
         "only a torn tail is cut",
         "replication/_records.py",
-        "    if _record_follows(content, position + 1) or not "
-        "_looks_cut(content, position):",
+        "    if _has_record_after(content, position + 1) or not "
+        "_is_cut_short(content, position):",
         "    if False:",
         "tests.replication.test_storage",
     ),
     Guard(
         "a kept identity with a lost log is refused",
         "replication/_storage.py",
-        '            raise self._damaged("its write-ahead log is missing")\n',
+        '            raise self._damaged_error("the write-ahead log is missing")\n',
         "            self._start_wal(0, HardState(), [])\n"
-        "            return Recovered(Log(EMPTY_SNAPSHOT), HardState())\n",
+        "            return RecoveredState(Log(EMPTY_SNAPSHOT), HardState())\n",
         "tests.replication.test_storage",
     ),
     Guard(
@@ -239,14 +239,14 @@
     Guard(
         "peers are compared with",
         "judgement/_judge.py",
-        "            if scope is not None and self._peers_do_well(",
-        "            if scope is not None or self._peers_do_well(",
+        "            if scope is not None and self._has_healthy_peers(",
+        "            if scope is not None or self._has_healthy_peers(",
         "tests.judgement.test_judge",
     ),
     Guard(
         "a hall that sees the server well is not ejected for",
         "judgement/_judge.py",
-        "        if not contradicts(others, tallies[failing]):\n"
+        "        if not has_contradiction(others, tallies[failing]):\n"
         "            return frozenset()\n",
         "        return frozenset()\n",
         "tests.judgement.test_judge",
@@ -283,29 +283,29 @@
     Guard(
         "no proof, no service",
         "wire/_connection.py",
-        "        if not hmac.compare_digest(wanted, answer.proof):",
+        "        if not hmac.compare_digest(expected, answer.proof):",
         "        if False:",
         "tests.wire.test_wire",
     ),
     Guard(
         "a server that asked for rest is not chosen",
         "entry/servers/_holds.py",
-        "    return server.takes_work(now_ms) and server.pushback.is_open(now_ms)\n",
+        "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
         "    return server.takes_work(now_ms)\n",
         PUSHBACK_TESTS,
     ),
     Guard(
         "what a server asked for is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return refusal or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return refusal or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
         "what may no longer be sent is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or turn",
+        "    return error or refusal or check_rate_limit",
+        "    return error or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
@@ -318,15 +318,15 @@
     Guard(
         "a server's limit is looked at again before bytes are written",
         "entry/servers/_dispatch.py",
-        "    return hold or refusal or turn",
-        "    return hold or refusal",
+        " or check_rate_limit(outgoing.server, outgoing.token, now_ms)\n",
+        "\n",
         LIMIT_TESTS,
     ),
     Guard(
         "a server is chosen only where a turn is due",
         "pushback/_book.py",
-        "        return now_ms >= self.opens_at_ms(now_ms)\n",
-        "        return now_ms >= self.rests_until_ms\n",
+        "        return now_ms >= self.accepts_at_ms(now_ms)\n",
+        "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
@@ -360,7 +360,7 @@
     Guard(
         "idle servers that were not drawn are looked at before a request is refused",
         "entry/servers/_slots.py",
-        "service, all_candidates(free, now_ms), wanted, now_ms",
+        "service, build_candidates(free, now_ms), wanted, now_ms",
         "service, candidates, wanted, now_ms",
         "tests.entry.servers.test_queue_check",
     ),
