--- a/src/cinderway/control/_catalog_service.py
+++ b/src/cinderway/control/_catalog_service.py
@@ -109,7 +109,7 @@
                             standby_scope.cancel()
                             tasks.start_soon(self._serve_follower, connection, request)
                         case ServerLoads(servers=loads):
-                            self.hall.news.hear_loads(connection, loads)
+                            self.hall.news.receive_replica_loads(connection, loads)
                             await connection.send(Done(), envelope.call_id)
                         case AskAllowances() as asked:
                             # Called here and not in the task, so that a holder's
@@ -140,13 +140,13 @@
             case EvidenceBatch():
                 self.hall.take_evidence(message)
             case ServerLoads(servers=loads):
-                self.hall.news.take_loads(connection, loads)
+                self.hall.news.receive_entry_loads(connection, loads)
             case RequestRuns():
-                self.hall.poison.take_runs(message)
+                self.hall.poison.receive_entry_runs(message)
             case RequestRulings():
-                self.hall.poison.learn(message)
+                self.hall.poison.receive_rulings(message)
             case ServerLimits():
-                self.hall.limits.take(message)
+                self.hall.limits.receive_entry_limits(message)
             case _:
                 return False
         return True
@@ -185,16 +185,16 @@
                     await self.commands.propose(data)
                     return Done()
                 case SuspectServers() as suspects:
-                    self.hall.news.hear_suspects(suspects)
+                    self.hall.news.receive_replica_suspects(suspects)
                     return Done()
                 case RequestRuns() as runs:
-                    self.hall.poison.hear_runs(runs)
+                    self.hall.poison.receive_replica_runs(runs)
                     return Done()
                 case RequestRulings() as rulings:
-                    self.hall.poison.learn(rulings)
+                    self.hall.poison.receive_rulings(rulings)
                     return Done()
                 case ServerLimits() as limits:
-                    self.hall.limits.hear(limits)
+                    self.hall.limits.receive_replica_limits(limits)
                     return Done()
                 case TakeRetry() as asked:
                     return RetryAnswer(self.hall.take_retry(asked))
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -78,7 +78,7 @@
         """Record one entry's observations."""
         for evidence in _evidence_decoder.decode(batch.servers):
             judge = self._judges.setdefault(evidence.service, ServiceJudge())
-            judge.hear(batch.entry, batch.data_hall, now_ms)
+            judge.record_reporter(batch.entry, batch.data_hall, now_ms)
             judge.observe(
                 batch.entry,
                 batch.data_hall,
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_news.py
@@ -79,12 +79,14 @@
             tasks.start_soon(self._send_to_other_halls)
             tasks.start_soon(self._send_hall_entries)
 
-    def take_loads(self, entry: Hashable, loads: Iterable[ServerLoad]) -> None:
+    def receive_entry_loads(self, entry: Hashable, loads: Iterable[ServerLoad]) -> None:
         """Receive servers' loads from an entry that follows here."""
         self._record_loads(entry, loads, self._entry_updates, self._entries_in_flight)
         self._pending_for_other_halls.update(load.server for load in loads)
 
-    def hear_loads(self, replica: Hashable, loads: Iterable[ServerLoad]) -> None:
+    def receive_replica_loads(
+        self, replica: Hashable, loads: Iterable[ServerLoad]
+    ) -> None:
         """Receive loads from another replica; they are forwarded to entries only."""
         self._record_loads(
             replica, loads, self._replica_updates, self._replicas_in_flight
@@ -111,13 +113,13 @@
         self._replica_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
         self._update_pending.set()
 
-    def take_suspects(self, suspects: SuspectServers) -> None:
+    def receive_entry_suspects(self, suspects: SuspectServers) -> None:
         """Receive changed suspicions from the entries that follow here."""
         self._entry_updates.add_suspects(suspects, monotonic_ms())
         self._update_pending.set()
         self._new_suspects.set()
 
-    def hear_suspects(self, suspects: SuspectServers) -> None:
+    def receive_replica_suspects(self, suspects: SuspectServers) -> None:
         """Receive suspects from another replica; they are forwarded to entries only."""
         self._replica_updates.add_suspects(suspects, monotonic_ms())
         self._update_pending.set()
--- a/src/cinderway/control/_hall_service.py
+++ b/src/cinderway/control/_hall_service.py
@@ -90,7 +90,7 @@
                 ",".join(suspects.servers),
                 batch.entry,
             )
-            self.news.take_suspects(suspects)
+            self.news.receive_entry_suspects(suspects)
 
     def take_retry(self, asked: TakeRetry) -> bool:
         """Consume one retry of the shared budget; return False if none is left."""
--- a/src/cinderway/control/_limit_news.py
+++ b/src/cinderway/control/_limit_news.py
@@ -47,11 +47,11 @@
                 self._update_pending = anyio.Event()
                 self._send_pending(monotonic_ms())
 
-    def take(self, message: ServerLimits) -> None:
+    def receive_entry_limits(self, message: ServerLimits) -> None:
         """Receive limits from an entry that follows this replica."""
         self._pending_for_replicas.update(self._record_limits(message))
 
-    def hear(self, message: ServerLimits) -> None:
+    def receive_replica_limits(self, message: ServerLimits) -> None:
         """Receive limits from another replica; they are forwarded to entries only."""
         self._record_limits(message)
 
@@ -66,7 +66,7 @@
         changed = [
             line.server
             for line in message.lines
-            if self.record.learn(line.server, line.limit(now_ms))
+            if self.record.record_limit(line.server, line.limit(now_ms))
         ]
         if changed:
             self._pending_servers.update(changed)
--- a/src/cinderway/control/_poison_news.py
+++ b/src/cinderway/control/_poison_news.py
@@ -71,28 +71,28 @@
                 self._update_pending = anyio.Event()
                 self._send_pending()
 
-    def take_runs(self, runs: RequestRuns) -> None:
+    def receive_entry_runs(self, runs: RequestRuns) -> None:
         """Receive runs from an entry; they are forwarded to the other replicas."""
         self._pending_ended += runs.ended
         self._pending_good += runs.good
-        self.hear_runs(runs)
+        self.receive_replica_runs(runs)
 
-    def hear_runs(self, runs: RequestRuns) -> None:
+    def receive_replica_runs(self, runs: RequestRuns) -> None:
         """Receive runs that another replica's entries saw."""
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
             self._queue_ruling(ruling)
         self._update_pending.set()
 
-    def learn(self, rulings: RequestRulings) -> None:
+    def receive_rulings(self, rulings: RequestRulings) -> None:
         """Receive rulings of an entry or another replica; keep those that are newer."""
-        for ruling in self.tally.learn_all(rulings, monotonic_ms()):
+        for ruling in self.tally.apply_rulings(rulings, monotonic_ms()):
             self._queue_ruling(ruling)
 
     def apply_stored_rulings(self, rulings: Iterable[Ruling]) -> None:
         """Apply the rulings that are newer than those known here."""
         now_ms = monotonic_ms()
         for ruling in rulings:
-            if self.tally.learn(ruling, now_ms):
+            if self.tally.apply_ruling(ruling, now_ms):
                 self._queue_ruling(ruling)
 
     def bar(self, digest: RequestDigest) -> None:
--- a/src/cinderway/control/_service.py
+++ b/src/cinderway/control/_service.py
@@ -86,7 +86,7 @@
                 return Done()
 
     async def _follow(self, request: FollowTable) -> TableAnswer:
-        own_revision = self._fleet.hear(request.report, monotonic_ms())
+        own_revision = self._fleet.record_report(request.report, monotonic_ms())
         if request.must_be_current:
             await self._node.read_barrier(BARRIER_TIMEOUT_S)
         else:
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -157,14 +157,14 @@
         for service in self.services.values():
             service.free_slot()
 
-    def hear_limits(self, reported: ServerLimits, now_ms: int) -> None:
+    def receive_limits(self, reported: ServerLimits, now_ms: int) -> None:
         """Apply the servers' rate limits that other processes learned of."""
         listed = {
             name: server.pushback
             for service in self.services.values()
             for name, server in service.servers.items()
         }
-        self.limits.hear(reported, listed, now_ms)
+        self.limits.receive_limits(reported, listed, now_ms)
         self.wake_waiting_requests()
 
     def use_group(self, group: EntryGroup, now_ms: int) -> None:
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -200,7 +200,7 @@
         found, self._unreported_suspects = self._unreported_suspects, {}
         return _build_suspects(found, now_ms)
 
-    def hear(self, message: Message, now_ms: int) -> None:
+    def receive_message(self, message: Message, now_ms: int) -> None:
         """Apply a message about servers from another process of the data hall."""
         match message:
             case SuspectServers(servers=servers, for_ms=for_ms):
@@ -210,24 +210,24 @@
                     else:
                         self.clear_suspicion(server)
             case ServerLoads():
-                self.hear_loads(message, now_ms)
+                self.receive_loads(message, now_ms)
             case ServerLimits():
-                self.board.hear_limits(message, now_ms)
+                self.board.receive_limits(message, now_ms)
             case FleetEntries(group=group):
                 self.board.use_group(group, now_ms)
             case RequestRuns():
-                self.poison.hear_runs(message)
+                self.poison.receive_runs(message)
             case RequestRulings():
-                self.poison.hear_rulings(message)
+                self.poison.receive_rulings(message)
 
-    def hear_loads(self, message: ServerLoads, now_ms: int) -> None:
+    def receive_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the loads that other entries of the data hall reported."""
         for reported in message.servers:
             server = self._find_server(reported.server)
             if server is not None and reported.load != NO_LOAD:
                 server.note_load(reported.load, now_ms)
 
-    def hear_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
+    def receive_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the replica's loads, including the fleet's requests in flight."""
         for reported in message.servers:
             server = self._find_server(reported.server)
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -56,7 +56,7 @@
             limit = RateLimit(None, now_ms)
         self._record(server, server_pushback, limit, now_ms)
 
-    def hear(
+    def receive_limits(
         self,
         reported: ServerLimits,
         pushback_by_server: dict[ServerName, ServerPushback],
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -101,14 +101,14 @@
         held = self.tally.rulings(now_ms)[-REPORT_LIMIT:]
         return RequestRulings([RequestRuling.of(ruling, now_ms) for ruling in held])
 
-    def hear_runs(self, runs: RequestRuns) -> None:
+    def receive_runs(self, runs: RequestRuns) -> None:
         """Apply the runs that another entry reported."""
         for ruling in self.tally.note_runs(runs, monotonic_ms()):
             self._handle_ruling(ruling)
 
-    def hear_rulings(self, reported: RequestRulings) -> None:
+    def receive_rulings(self, reported: RequestRulings) -> None:
         """Apply the rulings of a replica or of another entry."""
-        for ruling in self.tally.learn_all(reported, monotonic_ms()):
+        for ruling in self.tally.apply_rulings(reported, monotonic_ms()):
             self._handle_ruling(ruling)
 
     def _handle_ruling(self, ruling: Ruling | None) -> None:
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -105,7 +105,7 @@
                         self._queue_rulings(self.tally.note_runs(runs, monotonic_ms()))
                     case RequestRulings() as rulings:
                         self._queue_rulings(
-                            self.tally.learn_all(rulings, monotonic_ms())
+                            self.tally.apply_rulings(rulings, monotonic_ms())
                         )
                     case ServerLimits() as limits:
                         self._receive_limits(limits)
@@ -115,7 +115,9 @@
     def _receive_report(self, session: _Session, report: EvidenceReport) -> None:
         session.group = report.group
         session.report_sequence = report.sequence
-        self.assessor.take(report, session.reporter, self._board.table, monotonic_ms())
+        self.assessor.receive_report(
+            report, session.reporter, self._board.table, monotonic_ms()
+        )
         if any(evidence.bad for evidence in report.servers):
             self._decide_now.set()
 
@@ -131,7 +133,7 @@
         """Record servers' rate limits and queue the new ones for the next send."""
         now_ms = monotonic_ms()
         for line in limits.lines:
-            if self._limits.learn(line.server, line.limit(now_ms)):
+            if self._limits.record_limit(line.server, line.limit(now_ms)):
                 self._unsent_limits.add(line.server)
                 self._decide_now.set()
 
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -296,9 +296,9 @@
             case CatalogUpdate():
                 self._apply_update(message, now_ms)
             case SuspectServers() | RequestRulings() | ServerLimits() | FleetEntries():
-                self.state.hear(message, now_ms)
+                self.state.receive_message(message, now_ms)
             case ServerLoads():
-                self.state.hear_fleet_loads(message, now_ms)
+                self.state.receive_fleet_loads(message, now_ms)
             case HallEntries(addresses=addresses):
                 self.state.peers = addresses
             case RetryAnswer() | GrantAllowances():
--- a/src/cinderway/entry/fleet/_hall_peers.py
+++ b/src/cinderway/entry/fleet/_hall_peers.py
@@ -115,7 +115,7 @@
             logger.debug("dropped a datagram that cannot be decoded: %s", error)
             return
         self.received_messages += 1
-        self.state.hear(message, monotonic_ms())
+        self.state.receive_message(message, monotonic_ms())
 
     def encode_datagram(self, message: Message) -> bytes:
         """Encode a message as a datagram: its MAC, then the payload."""
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -165,9 +165,9 @@
                     case VerdictSheet() as sheet:
                         self._receive_sheet(link, sheet)
                     case RequestRulings() as rulings:
-                        self.watch.hear_rulings(rulings)
+                        self.watch.receive_rulings(rulings)
                     case ServerLimits() as limits:
-                        self.board.hear_limits(limits, monotonic_ms())
+                        self.board.receive_limits(limits, monotonic_ms())
         except CinderwayError:
             # Avoid the assessor unless this entry itself closed the link, as unused.
             if link is None or self._links.get(key) is link:
--- a/src/cinderway/entry/fleet/_table_follower.py
+++ b/src/cinderway/entry/fleet/_table_follower.py
@@ -150,7 +150,7 @@
         return FollowTable(self.report(), known, wait_ms, must_be_current)
 
     def _receive_answer(self, answer: TableAnswer) -> None:
-        self.board.fleet.hear_all(answer.heard, monotonic_ms())
+        self.board.fleet.record_reports(answer.heard, monotonic_ms())
         self._trust.record_own_revision(answer.own_revision)
         self._apply_delta(answer.delta)
 
@@ -210,7 +210,7 @@
         if not isinstance(request, FollowTable):
             return _build_not_leader(request, self.settings.listen)
         now_ms = monotonic_ms()
-        own_revision = self.board.fleet.hear(request.report, now_ms)
+        own_revision = self.board.fleet.record_report(request.report, now_ms)
         return TableAnswer(
             delta=self.board.table.delta_since(request.known_revision),
             sequence=0,
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -163,6 +163,6 @@
             case VerdictBatch() as verdicts:
                 self.state.apply(verdicts)
             case ServerLoads() as loads:
-                self.state.hear_fleet_loads(loads, monotonic_ms())
+                self.state.receive_fleet_loads(loads, monotonic_ms())
             case news:
-                self.state.hear(news, monotonic_ms())
+                self.state.receive_message(news, monotonic_ms())
--- a/src/cinderway/experiment/_halls.py
+++ b/src/cinderway/experiment/_halls.py
@@ -107,19 +107,19 @@
         other = self.halls[address].service
         match message:
             case SuspectServers():
-                hear: Callable = other.news.hear_suspects
+                hear: Callable = other.news.receive_replica_suspects
                 call_later(self.experiment.other_hall_ms, hear, message)
             case ServerLoads(servers=loads):
-                hear = other.news.hear_loads
+                hear = other.news.receive_replica_loads
                 call_later(self.experiment.other_hall_ms, hear, self.name, loads)
             case RequestRuns():
-                hear = other.poison.hear_runs
+                hear = other.poison.receive_replica_runs
                 call_later(self.experiment.other_hall_ms, hear, message)
             case RequestRulings():
-                hear = other.poison.learn
+                hear = other.poison.receive_rulings
                 call_later(self.experiment.other_hall_ms, hear, message)
             case ServerLimits():
-                hear = other.limits.hear
+                hear = other.limits.receive_replica_limits
                 call_later(self.experiment.other_hall_ms, hear, message)
 
     def take(self, entry: EntryName, message: Message) -> None:
@@ -128,12 +128,12 @@
             case EvidenceBatch() as batch:
                 self.service.take_evidence(batch)
             case ServerLoads(servers=loads):
-                self.service.news.take_loads(entry, loads)
+                self.service.news.receive_entry_loads(entry, loads)
             case SuspectServers() as suspects:
-                self.service.news.hear_suspects(suspects)
+                self.service.news.receive_replica_suspects(suspects)
             case RequestRuns() as runs:
-                self.service.poison.take_runs(runs)
+                self.service.poison.receive_entry_runs(runs)
             case RequestRulings() as rulings:
-                self.service.poison.learn(rulings)
+                self.service.poison.receive_rulings(rulings)
             case ServerLimits() as limits:
-                self.service.limits.take(limits)
+                self.service.limits.receive_entry_limits(limits)
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -75,7 +75,7 @@
             judge = self._judges[service] = ServiceJudge(reporters)
         return judge
 
-    def take(
+    def receive_report(
         self,
         report: EvidenceReport,
         reporter: ReporterState,
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -93,7 +93,7 @@
         """Return the records of all servers, sorted by name."""
         return sorted(self._records.values(), key=lambda record: record.name)
 
-    def hear(self, reporter: EntryName, hall: DataHall, now_ms: int) -> None:
+    def record_reporter(self, reporter: EntryName, hall: DataHall, now_ms: int) -> None:
         """Record that a reporter is active, even if it has no observations."""
         self._reporters[reporter] = Reporter(hall, now_ms)
 
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -50,7 +50,7 @@
         self._highest_revision: dict[EntryName, int] = {}
         self._listed: frozenset[EntryName] | None = None
 
-    def hear(self, report: EntryReport, heard_at_ms: int) -> int:
+    def record_report(self, report: EntryReport, heard_at_ms: int) -> int:
         """Record a report; return the highest revision that the entry ever reported."""
         highest = max(self._highest_revision.get(report.name, 0), report.revision)
         self._highest_revision[report.name] = highest
@@ -59,10 +59,10 @@
             self._entries[report.name] = KnownEntry(report, heard_at_ms)
         return highest
 
-    def hear_all(self, reports: list[HeardReport], now_ms: int) -> None:
+    def record_reports(self, reports: list[HeardReport], now_ms: int) -> None:
         """Record reports received by gossip."""
         for gossiped in reports:
-            self.hear(gossiped.report, now_ms - gossiped.ago_ms)
+            self.record_report(gossiped.report, now_ms - gossiped.ago_ms)
 
     def sample(self, count: int, now_ms: int, rng: random.Random) -> list[HeardReport]:
         """Return reports of up to `count` entries that are not gone, for gossip."""
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -103,7 +103,7 @@
         held = self._last_ruling(digest, now_ms)
         return self._make_ruling(digest, Standing.CLEARED, suspect, held, now_ms)
 
-    def learn(self, ruling: Ruling, now_ms: int) -> bool:
+    def apply_ruling(self, ruling: Ruling, now_ms: int) -> bool:
         """Apply another process's ruling if it is newer; return whether it was."""
         held = self._last_ruling(ruling.digest, now_ms)
         if ruling.rank <= held.rank or ruling.until_ms <= now_ms:
@@ -119,10 +119,10 @@
         found += [self.note_good(digest, now_ms) for digest in runs.good]
         return [ruling for ruling in found if ruling is not None]
 
-    def learn_all(self, message: RequestRulings, now_ms: int) -> list[Ruling]:
+    def apply_rulings(self, message: RequestRulings, now_ms: int) -> list[Ruling]:
         """Apply another process's rulings; return those that were newer."""
         rulings = [line.ruling(now_ms) for line in message.lines]
-        return [ruling for ruling in rulings if self.learn(ruling, now_ms)]
+        return [ruling for ruling in rulings if self.apply_ruling(ruling, now_ms)]
 
     def standing_of(self, digest: RequestDigest, now_ms: int) -> Standing:
         """Return the standing of a request."""
--- a/src/cinderway/pushback/_book.py
+++ b/src/cinderway/pushback/_book.py
@@ -175,7 +175,7 @@
         Returns True if the other processes must be informed. `pushback` is what `of`
         returned.
         """
-        must_announce = self.limits.learn(server, limit)
+        must_announce = self.limits.record_limit(server, limit)
         newest = self.limits.of(server)
         if newest is None or newest.rate_per_s is None:
             pushback.turns = None
--- a/src/cinderway/pushback/_limits.py
+++ b/src/cinderway/pushback/_limits.py
@@ -59,7 +59,7 @@
         """Return a server's most recent limit; None if it never had one."""
         return self._limits.get(server)
 
-    def learn(self, server: ServerName, limit: RateLimit) -> bool:
+    def record_limit(self, server: ServerName, limit: RateLimit) -> bool:
         """Store a limit if it is newer; return True if it must be announced."""
         known = self._limits.pop(server, None)
         if known is not None and limit.heard_at_ms < known.heard_at_ms:
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_news.py
@@ -81,11 +81,11 @@
         self.local, self.remote = RecordingFollower("suva"), RecordingFollower("nadi")
         self.gossip = HallGossip(own, machine, self.calls, {self.local, self.remote})
 
-    def take_loads(self, loads, entry="e1"):
-        self.gossip.take_loads(entry, loads)
+    def receive_entry_loads(self, loads, entry="e1"):
+        self.gossip.receive_entry_loads(entry, loads)
 
-    def hear_loads(self, loads, replica="r2"):
-        self.gossip.hear_loads(replica, loads)
+    def receive_replica_loads(self, loads, replica="r2"):
+        self.gossip.receive_replica_loads(replica, loads)
 
     def share(self, *receipts):
         """Receive updates at the same moment, and send them."""
@@ -103,16 +103,19 @@
             anyio.run(run)
 
     def test_loads_are_sent_to_entries_and_replicas_of_the_own_hall(self):
-        self.share((self.take_loads, LOADS))
+        self.share((self.receive_entry_loads, LOADS))
         self.assertEqual(self.local.loads, LOADS)
         self.assertEqual(self.calls.sent, [("10.1.0.2:7100", ServerLoads(LOADS))])
 
     def test_loads_are_not_sent_to_entries_of_other_halls(self):
-        self.share((self.take_loads, LOADS))
+        self.share((self.receive_entry_loads, LOADS))
         self.assertEqual(self.remote.loads, [])
 
     def test_updates_from_another_replica_go_to_entries_only(self):
-        self.share((self.hear_loads, LOADS), (self.gossip.hear_suspects, suspects(9)))
+        self.share(
+            (self.receive_replica_loads, LOADS),
+            (self.gossip.receive_replica_suspects, suspects(9)),
+        )
         self.assertEqual(self.local.loads, LOADS)
         self.assertEqual(self.remote.suspects, [suspects(9)])
         self.assertEqual(self.calls.sent, [])
@@ -120,22 +123,24 @@
     def test_only_the_newest_load_of_each_server_is_sent(self):
         newest = [ServerLoad("i-1", 0.75), ServerLoad("i-2", 1.0)]
         first = [ServerLoad("i-1", 0.25), newest[1]]
-        self.share((self.take_loads, first), (self.take_loads, newest[:1]))
+        self.share(
+            (self.receive_entry_loads, first), (self.receive_entry_loads, newest[:1])
+        )
         self.assertEqual(self.local.loads, newest)
 
     def test_entries_are_sent_the_requests_in_flight_of_the_whole_fleet(self):
         def receive(loads):
-            self.take_loads(loads, "e1")
-            self.take_loads([ServerLoad("i-1", 0.5, 2)], "e2")
-            self.hear_loads([ServerLoad("i-1", NO_LOAD, 4)])
+            self.receive_entry_loads(loads, "e1")
+            self.receive_entry_loads([ServerLoad("i-1", 0.5, 2)], "e2")
+            self.receive_replica_loads([ServerLoad("i-1", NO_LOAD, 4)])
 
         self.share((receive, [ServerLoad("i-1", 0.25, 1)]))
         self.assertEqual(self.local.loads, [ServerLoad("i-1", 0.5, 7)])
 
     def test_replicas_of_the_hall_are_sent_the_requests_in_flight_of_its_entries(self):
         def receive(loads):
-            self.take_loads(loads, "e1")
-            self.hear_loads([ServerLoad("i-1", 0.75, 4)])
+            self.receive_entry_loads(loads, "e1")
+            self.receive_replica_loads([ServerLoad("i-1", 0.75, 4)])
 
         self.share((receive, [ServerLoad("i-1", 0.25, 1)]))
         message = ServerLoads([ServerLoad("i-1", 0.25, 1)])
@@ -143,8 +148,8 @@
 
     def test_the_requests_in_flight_of_a_disconnected_entry_are_removed(self):
         def receive(loads):
-            self.take_loads(loads, "e1")
-            self.take_loads([ServerLoad("i-1", 0.5, 2)], "e2")
+            self.receive_entry_loads(loads, "e1")
+            self.receive_entry_loads([ServerLoad("i-1", 0.5, 2)], "e2")
             self.gossip.forget("e1")
 
         self.share((receive, [ServerLoad("i-1", 0.25, 5), ServerLoad("i-2", 0.25, 5)]))
@@ -155,7 +160,7 @@
         async def run():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.gossip.run)
-                self.take_loads([ServerLoad("i-1", 0.25, 3)])
+                self.receive_entry_loads([ServerLoad("i-1", 0.25, 3)])
                 with anyio.fail_after(20):
                     while len(self.calls.sent) < 2:
                         await anyio.sleep(0.001)
@@ -168,8 +173,8 @@
 
     def test_the_end_of_a_suspicion_replaces_its_unsent_beginning(self):
         self.share(
-            (self.gossip.take_suspects, suspects(900)),
-            (self.gossip.take_suspects, suspects(0)),
+            (self.gossip.receive_entry_suspects, suspects(900)),
+            (self.gossip.receive_entry_suspects, suspects(0)),
         )
         self.assertEqual(self.local.suspects, [suspects(0)])
         self.assertEqual(self.remote.suspects, [suspects(0)])
@@ -177,14 +182,14 @@
     def test_simultaneous_failures_are_sent_as_one_batch(self):
         """In a big hall dozens of servers fail each second, each seen by one entry."""
         many = [SuspectServers([f"i-{index}"], [FADES_MS]) for index in range(50)]
-        self.share(*((self.gossip.take_suspects, message) for message in many))
+        self.share(*((self.gossip.receive_entry_suspects, message) for message in many))
         self.assertEqual(self.local.batches, 1)
         self.assertEqual(len(self.local.suspects[0].servers), 50)
         self.assertEqual(len(self.calls.sent), 2)
 
     def test_long_suspicions_are_shortened_for_other_halls(self):
         message = SuspectServers(["i-1", "i-2"], [8 * FADES_MS, 100])
-        self.share((self.gossip.take_suspects, message))
+        self.share((self.gossip.receive_entry_suspects, message))
         message = SuspectServers(["i-1", "i-2"], [FADES_MS, 100])
         self.assertEqual(
             [message for _, message in self.calls.sent], [message, message]
@@ -200,11 +205,11 @@
         async def run():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.gossip.run)
-                self.gossip.take_loads("e1", LOADS)
+                self.gossip.receive_entry_loads("e1", LOADS)
                 await anyio.wait_all_tasks_blocked()
-                self.gossip.take_loads("e1", LOADS)
+                self.gossip.receive_entry_loads("e1", LOADS)
                 await anyio.sleep(0)
-                self.gossip.take_suspects(suspects(900))
+                self.gossip.receive_entry_suspects(suspects(900))
                 with anyio.fail_after(20):
                     while self.local.batches < 2:
                         await anyio.sleep(0.001)
--- a/tests/control/test_limit_news.py
+++ b/tests/control/test_limit_news.py
@@ -82,39 +82,42 @@
         run_in_virtual_time(run)
 
     def test_limits_from_an_entry_go_to_entries_and_replicas(self):
-        self.play(lambda: self.gossip.take(build_limits(1.9)))
+        self.play(lambda: self.gossip.receive_entry_limits(build_limits(1.9)))
         self.assertEqual(self.entry.rates, [1.9])
         self.assertEqual(sorted(self.calls.sent), [(a, 1.9) for a in OTHERS])
 
     def test_limits_from_another_replica_go_to_entries_only(self):
-        self.play(lambda: self.gossip.hear(build_limits(1.9)))
+        self.play(lambda: self.gossip.receive_replica_limits(build_limits(1.9)))
         self.assertEqual(self.entry.rates, [1.9])
         self.assertEqual(self.calls.sent, [])
 
     def test_a_limit_is_forwarded_only_if_it_has_changed(self):
         steps = [
-            lambda r=r: self.gossip.hear(build_limits(r)) for r in (1.9, 1.9, 1.95, 0.4)
+            lambda r=r: self.gossip.receive_replica_limits(build_limits(r))
+            for r in (1.9, 1.9, 1.95, 0.4)
         ]
         self.play(*steps)
         self.assertEqual(self.entry.rates, [1.9, 0.4])
 
     def test_the_end_of_a_limit_is_forwarded_and_an_older_limit_after_it_is_not(self):
         self.play(
-            lambda: self.gossip.hear(build_limits(1.9)),
-            lambda: self.gossip.hear(build_limits(None)),
-            lambda: self.gossip.hear(build_limits(1.9, ago_ms=5_000)),
+            lambda: self.gossip.receive_replica_limits(build_limits(1.9)),
+            lambda: self.gossip.receive_replica_limits(build_limits(None)),
+            lambda: self.gossip.receive_replica_limits(build_limits(1.9, ago_ms=5_000)),
         )
         self.assertEqual(self.entry.rates, [1.9, None])
 
     def test_recent_limits_are_resent_for_replicas_that_were_partitioned(self):
         with patch.object(_limit_news, "RESEND_PERIOD_S", 0.5):
-            self.play(lambda: self.gossip.take(build_limits(1.9)), for_s=1.2)
+            self.play(
+                lambda: self.gossip.receive_entry_limits(build_limits(1.9)), for_s=1.2
+            )
         self.assertEqual(len(self.calls.sent), 3 * len(OTHERS))
 
     def test_an_entry_that_begins_to_follow_is_sent_all_known_limits(self):
         known = []
         self.play(
-            lambda: self.gossip.hear(build_limits(1.9)),
+            lambda: self.gossip.receive_replica_limits(build_limits(1.9)),
             lambda: known.append(self.gossip.limits()),
         )
         self.assertEqual(known[0].lines[0].rate_per_s, 1.9)
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -69,7 +69,7 @@
 
     def test_entries_are_sent_rulings_and_replicas_are_sent_ended_runs(self):
         self.play(
-            lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+            lambda: self.gossip.receive_entry_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings and len(self.calls.sent) == 2,
         )
         self.assertEqual(self.entry.standings, [Standing.REFUSED])
@@ -78,21 +78,21 @@
 
     def test_runs_from_another_replica_are_not_forwarded_to_replicas(self):
         self.play(
-            lambda: self.gossip.hear_runs(build_runs("a", "b", "c")),
+            lambda: self.gossip.receive_replica_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings,
         )
         self.assertEqual(self.calls.sent, [])
 
     def test_ended_runs_of_different_replicas_entries_are_counted_together(self):
-        self.gossip.take_runs(build_runs("a"))
-        self.gossip.hear_runs(build_runs("b", "c"))
+        self.gossip.receive_entry_runs(build_runs("a"))
+        self.gossip.receive_replica_runs(build_runs("b", "c"))
         (line,) = self.gossip.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
 
     def test_a_good_answer_at_another_replica_clears_the_request(self):
-        self.gossip.take_runs(build_runs("a", "b", "c"))
+        self.gossip.receive_entry_runs(build_runs("a", "b", "c"))
         self.play(
-            lambda: self.gossip.hear_runs(RequestRuns([], [DIGEST])),
+            lambda: self.gossip.receive_replica_runs(RequestRuns([], [DIGEST])),
             is_enough=lambda: self.entry.standings,
         )
         self.assertEqual(self.entry.standings, [Standing.CLEARED])
@@ -103,17 +103,18 @@
 
         with patch.object(_poison_news, "RESEND_PERIOD_S", 0.001):
             self.play(
-                lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+                lambda: self.gossip.receive_entry_runs(build_runs("a", "b", "c")),
                 is_enough=lambda: len(sent_rulings()) >= 4,
             )
         restarted = PoisonGossip(OTHERS[0], CatalogMachine(), RecordingCalls(), set)
-        restarted.learn(sent_rulings()[0])
+        restarted.receive_rulings(sent_rulings()[0])
         (line,) = restarted.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
 
     def test_without_rulings_nothing_is_resent(self):
         self.play(
-            lambda: self.gossip.take_runs(build_runs("a")), is_enough=lambda: True
+            lambda: self.gossip.receive_entry_runs(build_runs("a")),
+            is_enough=lambda: True,
         )
         self.assertEqual(
             [m for _, m in self.calls.sent], [build_runs("a"), build_runs("a")]
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -42,7 +42,7 @@
         """Return the request's standing at a replica that has the snapshot only."""
         tally = PoisonTally()
         for refused in restore_from_snapshot(self.machine).refused.values():
-            tally.learn(build_ruling(refused, now_ms, wall_ms), now_ms)
+            tally.apply_ruling(build_ruling(refused, now_ms, wall_ms), now_ms)
         return tally.standing_of(DIGEST, now_ms)
 
     def test_a_refusal_is_stored_once(self):
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -69,7 +69,7 @@
         async def play():
             world = LimitedWorld(b"2")
             update = ServerLimits([ServerLimit(LIMITED, 2.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await world.ask_often(LENGTH_MS, pause_ms=20)
             return world
 
@@ -84,7 +84,7 @@
                     tasks.start_soon(world.ask)
                 await anyio.sleep(0.1)
                 update = ServerLimits([ServerLimit(LIMITED, 0.5, 0)])
-                world.board.hear_limits(update, monotonic_ms())
+                world.board.receive_limits(update, monotonic_ms())
             return world
 
         world = run_in_virtual_time(play)
@@ -106,7 +106,7 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await anyio.sleep(2)
             rate_bucket = world.get_pushback().turns
             rate_bucket.take(monotonic_ms())
@@ -119,7 +119,7 @@
         async def play():
             world = LimitedWorld(b"0.5", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 0.5, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             service = world.board.services[SERVICE]
             server = service.servers[LIMITED]
             for _ in range(20):
@@ -142,7 +142,7 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             start_ms = monotonic_ms()
             async with anyio.create_task_group() as tasks:
                 for _ in range(10):
@@ -165,7 +165,7 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             start_ms = monotonic_ms()
             await world.ask(objective_ms=600)
             return world.outcomes, monotonic_ms() - start_ms
@@ -179,7 +179,7 @@
             world = LimitedWorld(b"2", (LIMITED,))
             world.board.pushback.group = None
             update = ServerLimits([ServerLimit(LIMITED, 2.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await world.ask()
             return world, world.get_pushback().retry_after_ms(monotonic_ms())
 
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -65,7 +65,7 @@
     def report_loads(self, **loads):
         reported = [ServerLoad(ServerName(name), load) for name, load in loads.items()]
         message = ServerLoads(reported)
-        self.state.hear_loads(message, monotonic_ms())
+        self.state.receive_loads(message, monotonic_ms())
 
     def choice(self, penalties=USUAL_PENALTIES):
         service = self.state.board.services[SERVICE]
@@ -90,7 +90,7 @@
         far.row = dataclasses.replace(far.row, data_hall=DataHall("nadi"))
         # Full, but hardly fuller than the other hall's server by its entries' reports.
         others = ServerLoads([ServerLoad("b", NO_LOAD, in_flight=3)])
-        self.state.hear_fleet_loads(others, monotonic_ms())
+        self.state.receive_fleet_loads(others, monotonic_ms())
         self.report_loads(a=1.25)
         self.assertEqual(self.choice(Penalties(other_hall=0.7)), "a")
         self.report_loads(a=2.0)
@@ -115,7 +115,7 @@
         self,
     ):
         hanging = ServerLoads([ServerLoad("a", 1.0, in_flight=4)])
-        self.state.hear_fleet_loads(hanging, monotonic_ms())
+        self.state.receive_fleet_loads(hanging, monotonic_ms())
         long_after_ms = monotonic_ms() + 60_000
         self.assertEqual(self.servers["a"].load_at(long_after_ms), 1)
         self.assertEqual({self.choice() for _ in range(20)}, {"b"})
@@ -125,7 +125,7 @@
         for _ in range(2):
             self.dispatcher.notes.send(server, monotonic_ms())
         reported = ServerLoads([ServerLoad("a", NO_LOAD, in_flight=1)])
-        self.state.hear_fleet_loads(reported, monotonic_ms())
+        self.state.receive_fleet_loads(reported, monotonic_ms())
         self.assertEqual(server.fleet_in_flight, 2)
         server.end_request()
         server.end_request()
@@ -135,7 +135,7 @@
         self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
         self.state.take_loads(monotonic_ms())
         others = ServerLoads([ServerLoad("a", NO_LOAD, 4), ServerLoad("b", NO_LOAD, 4)])
-        self.state.hear_fleet_loads(others, monotonic_ms())
+        self.state.receive_fleet_loads(others, monotonic_ms())
         self.state.follow_anew()
         reported = self.state.take_loads(monotonic_ms())
         self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
@@ -171,13 +171,13 @@
         self.assertFalse(self.state.turned_away.is_set())
 
     def test_a_server_that_another_entry_has_just_reported_is_not_reported_again(self):
-        self.state.hear(SuspectServers(["a"], [FADES_MS]), monotonic_ms())
+        self.state.receive_message(SuspectServers(["a"], [FADES_MS]), monotonic_ms())
         self.state.board.on_turned_away(ServerName("a"))
         self.assertEqual(self.reported(), [])
 
     def test_a_server_that_another_entry_reported_earlier_is_reported_again(self):
         left_ms = FADES_MS - UNDER_WAY_MS
-        self.state.hear(SuspectServers(["a"], [left_ms]), monotonic_ms())
+        self.state.receive_message(SuspectServers(["a"], [left_ms]), monotonic_ms())
         self.state.board.on_turned_away(ServerName("a"))
         self.assertEqual(self.reported(), ["a"])
 
--- a/tests/entry/test_poison_watch.py
+++ b/tests/entry/test_poison_watch.py
@@ -73,13 +73,13 @@
 
     def test_runs_of_other_entries_count_too(self):
         self.watch.record_broken_run(D, "a")
-        self.watch.hear_runs(RequestRuns([EndedRun(D, "b"), EndedRun(D, "c")], []))
+        self.watch.receive_runs(RequestRuns([EndedRun(D, "b"), EndedRun(D, "c")], []))
         self.assertIs(self.standing(), Standing.REFUSED)
-        self.watch.hear_runs(RequestRuns([], [D]))
+        self.watch.receive_runs(RequestRuns([], [D]))
         self.assertIs(self.standing(), Standing.CLEARED)
 
     def test_a_ruling_of_the_replica_is_applied_and_waiting_requests_are_woken(self):
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.watch.receive_rulings(rulings_of(refused()))
         self.assertIsNotNone(self.watch.find_refusal(D))
         self.assertIsNone(self.watch.find_refusal(E))
         self.assertEqual(len(self.woken), 1)
@@ -87,7 +87,7 @@
     def test_a_good_answer_is_reported_if_it_clears_a_request(self):
         self.watch.record_good_answer(E)
         self.assertFalse(self.watch.has_news.is_set())
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.watch.receive_rulings(rulings_of(refused()))
         self.watch.record_good_answer(D)
         self.assertIsNone(self.watch.find_refusal(D))
         self.assertEqual(self.watch.take_runs().good, [D])
@@ -95,7 +95,7 @@
     def test_a_ruling_is_contradicted_by_a_good_answer_since_then(self):
         """Guards against refusing a frequent read that was in flight at every end."""
         self.watch.record_good_answer(D)
-        self.watch.hear_rulings(rulings_of(refused(at_ms=self.now_ms)))
+        self.watch.receive_rulings(rulings_of(refused(at_ms=self.now_ms)))
         self.assertIsNone(self.watch.find_refusal(D))
         self.assertEqual(self.watch.take_runs().good, [D])
         self.assertEqual(self.woken, [])
@@ -103,7 +103,7 @@
     def test_good_answers_before_the_first_end_have_no_effect(self):
         self.watch.record_good_answer(D)
         self.now_ms += 1
-        self.watch.hear_rulings(rulings_of(refused(at_ms=self.now_ms)))
+        self.watch.receive_rulings(rulings_of(refused(at_ms=self.now_ms)))
         self.assertIsNotNone(self.watch.find_refusal(D))
 
     def test_the_number_of_remembered_good_answers_is_bounded(self):
@@ -124,9 +124,9 @@
         self.assertEqual(len(self.watch.take_runs().ended), REPORT_LIMIT)
 
     def test_a_replica_without_rulings_gets_the_current_ones(self):
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.watch.receive_rulings(rulings_of(refused()))
         (line,) = self.watch.rulings().lines
         self.assertIs(line.standing, Standing.REFUSED)
         other = PoisonWatch()
-        other.hear_rulings(rulings_of(line))
+        other.receive_rulings(rulings_of(line))
         self.assertIsNotNone(other.find_refusal(D))
--- a/tests/judgement/test_judge.py
+++ b/tests/judgement/test_judge.py
@@ -49,7 +49,7 @@
         for _ in range(ms // REPORT_MS):
             self.now_ms += REPORT_MS
             for entry in self.entries:
-                self.judge.hear(entry, hall_of(entry), self.now_ms)
+                self.judge.record_reporter(entry, hall_of(entry), self.now_ms)
             requests = round(self.rate * REPORT_MS / 1000)
             for _ in range(requests):
                 self.send_one()
@@ -231,7 +231,7 @@
         service = ServiceRow(name="lookup")
         for now_ms in range(100, 5000, 100):
             for entry in ENTRIES:
-                judge.hear(entry, "suva", now_ms)
+                judge.record_reporter(entry, "suva", now_ms)
                 evidence = ServerEvidence("lookup", "s0", overdue=1)
                 judge.observe(entry, "suva", evidence, service, now_ms)
             judge.decide(service, ["s0"], now_ms)
--- a/tests/poison/test_tally.py
+++ b/tests/poison/test_tally.py
@@ -103,11 +103,11 @@
         other = PoisonTally()
         for server in ("a", "b", "c"):
             refused = self.tally.note_end(D, server, 0)
-        self.assertTrue(other.learn(refused, 0))
-        self.assertFalse(other.learn(refused, 0))
+        self.assertTrue(other.apply_ruling(refused, 0))
+        self.assertFalse(other.apply_ruling(refused, 0))
         cleared = other.note_good(D, 1)
-        self.assertTrue(self.tally.learn(cleared, 1))
-        self.assertFalse(self.tally.learn(refused, 1))
+        self.assertTrue(self.tally.apply_ruling(cleared, 1))
+        self.assertFalse(self.tally.apply_ruling(refused, 1))
         self.assertIs(self.standing(1), Standing.CLEARED)
 
     def test_number_of_tracked_requests_is_bounded(self):
@@ -154,7 +154,7 @@
             case "tell":
                 for ruling in tally.rulings(now_ms):
                     for other in tallies:
-                        other.learn(ruling, now_ms)
+                        other.apply_ruling(ruling, now_ms)
             case server:
                 tally.note_end(D, ServerName(f"s{server}"), now_ms)
 
