--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -108,7 +108,7 @@
         case Way.FEW:
             return []
         case Way.NOBODY_READS:
-            return [mock.patch.object(LimitWatch, "note")]
+            return [mock.patch.object(LimitWatch, "record_headers")]
         case Way.EQUAL:
             return [_equal_parts(entries)]
         case Way.EQUAL_SAVED:
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -96,13 +96,13 @@
     def _update_suspicion(self, evidence: ServerEvidence, now_ms: int) -> None:
         server = evidence.server
         if evidence.good:
-            self._suspicions.note_good(server)
+            self._suspicions.record_good(server)
         alarm = evidence.main_alarm()
         if alarm is not None:
-            until_ms = self._suspicions.note_alarm(server, alarm, now_ms)
+            until_ms = self._suspicions.record_alarm(server, alarm, now_ms)
             if until_ms is not None:
                 self._new_suspects[server] = until_ms
-        elif evidence.late_answers and self._suspicions.note_late_answer(server):
+        elif evidence.late_answers and self._suspicions.record_late_answer(server):
             self._new_suspects[server] = now_ms
 
     def new_suspects(self, now_ms: int) -> SuspectServers | None:
--- a/src/cinderway/control/_poison_news.py
+++ b/src/cinderway/control/_poison_news.py
@@ -79,7 +79,7 @@
 
     def receive_replica_runs(self, runs: RequestRuns) -> None:
         """Receive runs that another replica's entries saw."""
-        for ruling in self.tally.note_runs(runs, monotonic_ms()):
+        for ruling in self.tally.record_runs(runs, monotonic_ms()):
             self._queue_ruling(ruling)
         self._update_pending.set()
 
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -77,7 +77,7 @@
         # The control replica's last count may not have included this request.
         self.fleet_in_flight = max(self.fleet_in_flight - 1, self.in_flight)
 
-    def note_load(self, load: float, now_ms: int) -> None:
+    def record_load(self, load: float, now_ms: int) -> None:
         """Record a load that was reported by the server or by another entry."""
         self.known_load = load
         self.load_known_at_ms = now_ms
@@ -143,7 +143,7 @@
     on_load: Callable[[ServerName], None] | None = None
     # Called with each server that rejected a request as overloaded, if entries share
     # that information.
-    on_turned_away: Callable[[ServerName], None] | None = None
+    on_rejection: Callable[[ServerName], None] | None = None
     # Called with each server that gave this entry a good answer.
     on_good_answer: Callable[[ServerName], None] | None = None
     table_changed: anyio.Event = field(default_factory=anyio.Event)
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -61,7 +61,7 @@
     # When the followed replica last had the newest catalog.
     current_at_ms: int = 0
     activity: anyio.Event = field(default_factory=anyio.Event)
-    bad_news: anyio.Event = field(default_factory=anyio.Event)
+    has_alarms: anyio.Event = field(default_factory=anyio.Event)
     loads_changed: anyio.Event = field(default_factory=anyio.Event)
     poison: PoisonWatch = field(default_factory=PoisonWatch)
     # Addresses at which the data hall's entries reach each other while control is
@@ -73,7 +73,7 @@
     # Servers that rejected requests of this entry, and until when to avoid each; not
     # reported yet.
     _unreported_rejections: dict[ServerName, int] = field(default_factory=dict)
-    turned_away: anyio.Event = field(default_factory=anyio.Event)
+    has_rejections: anyio.Event = field(default_factory=anyio.Event)
     # Servers whose load is to be reported to the data hall, in order of the changes.
     _unreported_loads: dict[ServerName, None] = field(default_factory=dict)
     _account_rows: list[AccountRow] | None = None
@@ -81,11 +81,11 @@
     _suspicions: Suspicions = field(default_factory=Suspicions)
 
     def __post_init__(self):
-        self.evidence.on_alarm = self.note_alarm
-        self.evidence.on_late_answer = self.note_late_answer
+        self.evidence.on_alarm = self.record_alarm
+        self.evidence.on_late_answer = self.record_late_answer
         self.board.on_load = self._record_load_change
-        self.board.on_turned_away = self._note_turned_away
-        self.board.on_good_answer = self._suspicions.note_good
+        self.board.on_rejection = self._record_rejection
+        self.board.on_good_answer = self._suspicions.record_good
         self.poison.on_refusal = self.board.wake_waiting_requests
 
     @property
@@ -108,19 +108,19 @@
         """Wake the task that reports evidence."""
         self.activity.set()
 
-    def note_alarm(self, server: ServerName, kind: Bad) -> None:
+    def record_alarm(self, server: ServerName, kind: Bad) -> None:
         """Suspect a server that failed a request of this entry or is late with one."""
-        until_ms = self._suspicions.note_alarm(server, kind, monotonic_ms())
+        until_ms = self._suspicions.record_alarm(server, kind, monotonic_ms())
         if until_ms is not None:
             self._unreported_suspects[server] = until_ms
             self.suspect(server, until_ms)
-        self.bad_news.set()
+        self.has_alarms.set()
 
-    def note_late_answer(self, server: ServerName) -> None:
+    def record_late_answer(self, server: ServerName) -> None:
         """End the suspicion of a server that was late but does not hang."""
-        if self._suspicions.note_late_answer(server):
+        if self._suspicions.record_late_answer(server):
             self.clear_suspicion(server)
-        self.bad_news.set()
+        self.has_alarms.set()
 
     def suspect(self, server: ServerName, until_ms: int) -> None:
         """Use a server only if no better one is free, until the given time."""
@@ -144,7 +144,7 @@
         self._unreported_loads[server] = None
         self.loads_changed.set()
 
-    def take_loads(self, now_ms: int) -> ServerLoads:
+    def pop_loads(self, now_ms: int) -> ServerLoads:
         """Return the current loads of the servers that changed since the last call."""
         changed, self._unreported_loads = self._unreported_loads, {}
         # An event that is not set may have waiters: it must not be replaced.
@@ -153,7 +153,7 @@
         states = filter(None, map(self._find_server, changed))
         return ServerLoads([_build_server_load(state, now_ms) for state in states])
 
-    def _note_turned_away(self, server: ServerName) -> None:
+    def _record_rejection(self, server: ServerName) -> None:
         """Suspect a server that rejects requests, and report it to the data hall.
 
         Such a server is idle and reports a low load: by load alone every entry would
@@ -173,14 +173,14 @@
         self._unreported_suspects[server] = self._unreported_rejections[server] = (
             until_ms
         )
-        self.turned_away.set()
+        self.has_rejections.set()
 
-    def take_turned_away(self, now_ms: int) -> SuspectServers:
+    def pop_rejecting_servers(self, now_ms: int) -> SuspectServers:
         """Return the servers that rejected requests since the last call."""
         found, self._unreported_rejections = self._unreported_rejections, {}
         # An event that is not set may have waiters: it must not be replaced.
-        if self.turned_away.is_set():
-            self.turned_away = anyio.Event()
+        if self.has_rejections.is_set():
+            self.has_rejections = anyio.Event()
         return _build_suspects(found, now_ms)
 
     def follow_anew(self) -> None:
@@ -195,7 +195,7 @@
                 if server.in_flight:
                     self._record_load_change(name)
 
-    def take_suspects(self, now_ms: int) -> SuspectServers:
+    def pop_suspects(self, now_ms: int) -> SuspectServers:
         """Return the servers suspected here since the last call that still are."""
         found, self._unreported_suspects = self._unreported_suspects, {}
         return _build_suspects(found, now_ms)
@@ -225,7 +225,7 @@
         for reported in message.servers:
             server = self._find_server(reported.server)
             if server is not None and reported.load != NO_LOAD:
-                server.note_load(reported.load, now_ms)
+                server.record_load(reported.load, now_ms)
 
     def receive_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the replica's loads, including the fleet's requests in flight."""
@@ -234,7 +234,7 @@
             if server is None:
                 continue
             if reported.load != NO_LOAD:
-                server.note_load(reported.load, now_ms)
+                server.record_load(reported.load, now_ms)
             server.fleet_in_flight = max(reported.in_flight, server.in_flight)
 
     def install(self, update: CatalogUpdate, now_ms: int) -> bool:
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -27,10 +27,10 @@
     """Tracks the servers' rate limits and which of them are still to be reported."""
 
     book: PushbackBook
-    has_news: anyio.Event = field(default_factory=anyio.Event)
+    has_changes: anyio.Event = field(default_factory=anyio.Event)
     _unreported: dict[ServerName, None] = field(default_factory=dict)
 
-    def note(
+    def record_headers(
         self,
         server: ServerName,
         server_pushback: ServerPushback,
@@ -69,20 +69,20 @@
             )
             self._apply(line.server, server_pushback, line.limit(now_ms), now_ms)
 
-    def take_news(self, now_ms: int) -> ServerLimits:
+    def pop_changes(self, now_ms: int) -> ServerLimits:
         """Return the limits that were learned from answers since the last call."""
         changed, self._unreported = self._unreported, {}
         # An event that is not set may have waiters: it must not be replaced.
-        if self.has_news.is_set():
-            self.has_news = anyio.Event()
+        if self.has_changes.is_set():
+            self.has_changes = anyio.Event()
         limits = {server: self.book.limits.of(server) for server in changed}
         known = {server: limit for server, limit in limits.items() if limit is not None}
         return ServerLimits.of(known, now_ms)
 
-    def put_back(self, reported: ServerLimits) -> None:
+    def requeue(self, reported: ServerLimits) -> None:
         """Queue limits again whose report could not be sent."""
         self._unreported.update((line.server, None) for line in reported.lines)
-        self.has_news.set()
+        self.has_changes.set()
 
     def limits(self, now_ms: int) -> ServerLimits:
         """Return all current limits, for a replica that may not know them."""
@@ -108,7 +108,7 @@
     ) -> None:
         if self._apply(server, server_pushback, limit, now_ms):
             self._unreported[server] = None
-            self.has_news.set()
+            self.has_changes.set()
 
     def _apply(
         self,
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -39,7 +39,7 @@
     tally: PoisonTally = field(default_factory=PoisonTally)
     # Called whenever a request begins to be refused.
     on_refusal: Callable[[], None] | None = None
-    has_news: anyio.Event = field(default_factory=anyio.Event)
+    has_changes: anyio.Event = field(default_factory=anyio.Event)
     _unreported_ends: deque[EndedRun] = field(
         default_factory=lambda: deque(maxlen=REPORT_LIMIT)
     )
@@ -64,8 +64,8 @@
     def record_broken_run(self, digest: RequestDigest, server: ServerName) -> None:
         """Record that a server ended while it was running a request."""
         self._unreported_ends.append(EndedRun(digest, server))
-        self._handle_ruling(self.tally.note_end(digest, server, monotonic_ms()))
-        self.has_news.set()
+        self._handle_ruling(self.tally.record_end(digest, server, monotonic_ms()))
+        self.has_changes.set()
 
     def record_good_answer(self, digest: RequestDigest) -> None:
         """Record that a server gave a good answer to a request."""
@@ -77,23 +77,23 @@
         if self.tally.is_known(digest):
             self._queue_good_answer(digest, now_ms)
 
-    def take_runs(self) -> RequestRuns:
+    def pop_runs(self) -> RequestRuns:
         """Return the runs to report since the last call."""
         ended = list(self._unreported_ends)
         self._unreported_ends.clear()
         good, self._unreported_good = list(self._unreported_good)[-REPORT_LIMIT:], {}
         # An event that is not set may have waiters: it must not be replaced.
-        if self.has_news.is_set():
-            self.has_news = anyio.Event()
+        if self.has_changes.is_set():
+            self.has_changes = anyio.Event()
         return RequestRuns(ended, good)
 
-    def put_back(self, runs: RequestRuns) -> None:
+    def requeue(self, runs: RequestRuns) -> None:
         """Queue runs again whose report could not be sent."""
         since = list(self._unreported_ends)
         self._unreported_ends.clear()
         self._unreported_ends.extend(runs.ended + since)
         self._unreported_good = dict.fromkeys(runs.good) | self._unreported_good
-        self.has_news.set()
+        self.has_changes.set()
 
     def rulings(self) -> RequestRulings:
         """Return the current rulings, for a replica that may not know them."""
@@ -103,7 +103,7 @@
 
     def receive_runs(self, runs: RequestRuns) -> None:
         """Apply the runs that another entry reported."""
-        for ruling in self.tally.note_runs(runs, monotonic_ms()):
+        for ruling in self.tally.record_runs(runs, monotonic_ms()):
             self._handle_ruling(ruling)
 
     def receive_rulings(self, reported: RequestRulings) -> None:
@@ -128,6 +128,6 @@
             self.on_refusal()
 
     def _queue_good_answer(self, digest: RequestDigest, now_ms: int) -> None:
-        self.tally.note_good(digest, now_ms)
+        self.tally.record_good(digest, now_ms)
         self._unreported_good[digest] = None
-        self.has_news.set()
+        self.has_changes.set()
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -130,9 +130,11 @@
                 self.answer_limit_bytes,
                 request.deadline_ms,
             )
-            service.admission.note_service_time(monotonic_ms() - exchange.started_at_ms)
+            service.admission.record_service_time(
+                monotonic_ms() - exchange.started_at_ms
+            )
             if answer.status < SERVER_ERROR:
-                request.permit.note_good_run()
+                request.permit.record_successful_run()
             return answer
 
     async def _attempt_hedged(
--- a/src/cinderway/entry/callers/_poison_permit.py
+++ b/src/cinderway/entry/callers/_poison_permit.py
@@ -60,7 +60,7 @@
         """Return whether the request can be sent again after it may have run."""
         return self.holds and self.watch.can_be_repeated(self.digest)
 
-    def note_broken_run(self, server: ServerName, run_ms: int) -> None:
+    def record_failed_run(self, server: ServerName, run_ms: int) -> None:
         """Record that a server's connection broke while it was running the request."""
         self.watch.record_broken_run(self.digest, server)
         self.metrics.count("runs_broken_total", {"route": self.origin})
@@ -72,6 +72,6 @@
             self.digest.hex(),
         )
 
-    def note_good_run(self) -> None:
+    def record_successful_run(self) -> None:
         """Record that a server answered the request well and thus did not end."""
         self.watch.record_good_answer(self.digest)
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -60,7 +60,7 @@
     except CinderwayError as error:
         if error.code is ErrorCode.ANSWER_CUT_SHORT:
             dispatcher.evidence.fail(exchange.attempt, Bad.CUT)
-            exchange.note_broken()
+            exchange.record_broken_connection()
         raise
     body = b"".join(parts)
     length = answer.header(b"content-length")
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -72,7 +72,7 @@
                 await transfer.reply.send_head(answer)
             await self._relay(transfer, exchange)
         if transfer.download.status < SERVER_ERROR:
-            transfer.request.permit.note_good_run()
+            transfer.request.permit.record_successful_run()
         return True
 
     async def _relay(self, transfer: "_Transfer", exchange: Exchange) -> None:
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -102,7 +102,9 @@
                     case EvidenceReport() as report:
                         self._receive_report(session, report)
                     case RequestRuns() as runs:
-                        self._queue_rulings(self.tally.note_runs(runs, monotonic_ms()))
+                        self._queue_rulings(
+                            self.tally.record_runs(runs, monotonic_ms())
+                        )
                     case RequestRulings() as rulings:
                         self._queue_rulings(
                             self.tally.apply_rulings(rulings, monotonic_ms())
@@ -168,7 +170,7 @@
         )
         session.sent = view
         session.sent_at_ms = now_ms
-        session.reporter.note_sheet(sequence, now_ms)
+        session.reporter.record_sent_sheet(sequence, now_ms)
         await self._send(session, sheet)
 
     async def _send(self, session: _Session, message: Message) -> None:
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -247,8 +247,8 @@
         self.allowances.start_anew()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reports.send_evidence, connection)
-            tasks.start_soon(self._reports.send_runs, connection)
-            tasks.start_soon(self._reports.send_turned_away, connection)
+            tasks.start_soon(self._reports.send_ended_runs, connection)
+            tasks.start_soon(self._reports.send_rejecting_servers, connection)
             tasks.start_soon(self._reports.send_limits, connection)
             try:
                 await self._receive_messages(connection, address, tasks)
--- a/src/cinderway/entry/fleet/_catalog_reports.py
+++ b/src/cinderway/entry/fleet/_catalog_reports.py
@@ -49,8 +49,8 @@
         while True:
             await self._state.activity.wait()
             with anyio.move_on_after(self._compute_pause_s(evidence)):
-                await self._state.bad_news.wait()
-            self._state.bad_news = anyio.Event()
+                await self._state.has_alarms.wait()
+            self._state.has_alarms = anyio.Event()
             now_ms = monotonic_ms()
             evidence.sweep(now_ms)
             is_due = now_ms - reported_at_ms >= BATCH_INTERVAL_MS
@@ -73,36 +73,36 @@
         """Send the data hall the loads of servers whenever they change."""
         while True:
             await self._state.loads_changed.wait()
-            loads = self._state.take_loads(monotonic_ms())
+            loads = self._state.pop_loads(monotonic_ms())
             await _send_or_close(connection, loads, "loads of servers")
             await anyio.sleep(SEND_PAUSE_S)
 
-    async def send_turned_away(self, connection: Connection) -> None:
+    async def send_rejecting_servers(self, connection: Connection) -> None:
         """Send the data hall at once the servers that reject requests."""
         while True:
-            await self._state.turned_away.wait()
-            suspects = self._state.take_turned_away(monotonic_ms())
+            await self._state.has_rejections.wait()
+            suspects = self._state.pop_rejecting_servers(monotonic_ms())
             await _send_or_close(connection, suspects, "servers that reject requests")
             await anyio.sleep(SEND_PAUSE_S)
 
-    async def send_runs(self, connection: Connection) -> None:
+    async def send_ended_runs(self, connection: Connection) -> None:
         """Send at once the requests during which server processes ended."""
         watch = self._state.poison
         while True:
-            await watch.has_news.wait()
-            runs = watch.take_runs()
-            put_back = partial(watch.put_back, runs)
-            await _send_or_close(connection, runs, "ends of servers", put_back)
+            await watch.has_changes.wait()
+            runs = watch.pop_runs()
+            requeue = partial(watch.requeue, runs)
+            await _send_or_close(connection, runs, "ends of servers", requeue)
             await anyio.sleep(SEND_PAUSE_S)
 
     async def send_limits(self, connection: Connection) -> None:
         """Send at once which servers ask for a rate limit, or have lifted it."""
         watch = self._state.board.limits
         while True:
-            await watch.has_news.wait()
-            limits = watch.take_news(monotonic_ms())
+            await watch.has_changes.wait()
+            limits = watch.pop_changes(monotonic_ms())
             await _send_or_close(
-                connection, limits, "limits of servers", partial(watch.put_back, limits)
+                connection, limits, "limits of servers", partial(watch.requeue, limits)
             )
             await anyio.sleep(SEND_PAUSE_S)
 
@@ -126,18 +126,18 @@
     connection: Connection,
     message: Message,
     what: str,
-    put_back: Callable[[], None] | None = None,
+    requeue: Callable[[], None] | None = None,
 ) -> None:
     """Send a message, or close the connection if that takes too long.
 
-    `put_back` queues again what was not sent. It runs before the connection is closed,
+    `requeue` queues again what was not sent. It runs before the connection is closed,
     because the caller may be cancelled as soon as it is.
     """
     try:
         with anyio.fail_after(REPORT_INTERVAL_S):
             await connection.send(message)
     except (CinderwayError, TimeoutError) as error:
-        if put_back is not None:
-            put_back()
+        if requeue is not None:
+            requeue()
         logger.info("%s were not sent: %s", what, str(error) or "slow")
         await connection.aclose()
--- a/src/cinderway/entry/fleet/_hall_peers.py
+++ b/src/cinderway/entry/fleet/_hall_peers.py
@@ -78,16 +78,16 @@
 
     def take_pending_messages(self) -> Iterator[Message]:
         """Yield messages with what changed here since the last call."""
-        suspects = self.state.take_suspects(monotonic_ms())
+        suspects = self.state.pop_suspects(monotonic_ms())
         if suspects.servers:
             yield suspects
-        runs = self.state.poison.take_runs()
+        runs = self.state.poison.pop_runs()
         if runs.ended or runs.good:
             yield runs
-        limits = self.state.board.limits.take_news(monotonic_ms())
+        limits = self.state.board.limits.pop_changes(monotonic_ms())
         for start in range(0, len(limits.lines), SERVERS_PER_DATAGRAM):
             yield ServerLimits(limits.lines[start : start + SERVERS_PER_DATAGRAM])
-        loads = self.state.take_loads(monotonic_ms()).servers
+        loads = self.state.pop_loads(monotonic_ms()).servers
         for start in range(0, len(loads), SERVERS_PER_DATAGRAM):
             yield ServerLoads(loads[start : start + SERVERS_PER_DATAGRAM])
 
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -52,7 +52,7 @@
             counter = self._levels[service] = LevelCounter()
         counter.count(is_missed, monotonic_ms())
 
-    def note(
+    def record_event(
         self,
         service: ServiceName,
         server: ServerName,
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -111,10 +111,10 @@
             ):
                 self._reported_at_ms = now_ms
                 await self._send_reports(now_ms)
-            if self.watch.has_news.is_set():
-                await self._send_to_all(self.watch.take_runs(), "ends of servers")
-            if self.board.limits.has_news.is_set():
-                limits = self.board.limits.take_news(now_ms)
+            if self.watch.has_changes.is_set():
+                await self._send_to_all(self.watch.pop_runs(), "ends of servers")
+            if self.board.limits.has_changes.is_set():
+                limits = self.board.limits.pop_changes(now_ms)
                 await self._send_to_all(limits, "limits of servers")
             if now_ms - self._applied_at_ms >= APPLY_INTERVAL_MS:
                 self.apply(now_ms)
@@ -330,7 +330,7 @@
             return
         server.is_held_by_floor = True
         self.held_by_floor += 1
-        self.reports.note(
+        self.reports.record_event(
             service,
             server.row.name,
             Happening.HELD_BY_FLOOR,
@@ -343,7 +343,7 @@
     ) -> None:
         if server.is_ejected:
             self.ejections += 1
-            self.reports.note(
+            self.reports.record_event(
                 service,
                 server.row.name,
                 Happening.EJECTED,
@@ -358,7 +358,7 @@
                 verdict.score,
             )
         else:
-            self.reports.note(service, server.row.name, Happening.TAKEN_BACK)
+            self.reports.record_event(service, server.row.name, Happening.TAKEN_BACK)
             logger.info("reinstated %s/%s", service, server.row.name)
 
 
--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -216,7 +216,7 @@
                 stream = await anyio.connect_tcp(host.strip("[]"), port)
         except (OSError, TimeoutError) as error:
             if isinstance(error, TimeoutError):
-                self.connect_limit.note_missed()
+                self.connect_limit.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 f"cannot connect: {error or 'timed out'}",
@@ -224,7 +224,7 @@
                 peer=address,
             ) from error
         self.opened += 1
-        self.connect_limit.note_made(monotonic_ms() - start_ms)
+        self.connect_limit.record_connect_time(monotonic_ms() - start_ms)
         http_stream = _Stream(stream)
         http = httpcore.AsyncHTTP11Connection(
             httpcore.Origin(b"http", host.encode(), port),
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -47,10 +47,10 @@
     started_at_ms: int
     permit: Permit = UNLIMITED
 
-    def note_broken(self) -> None:
+    def record_broken_connection(self) -> None:
         """Record that the connection broke before the end of the response."""
         run_ms = monotonic_ms() - self.started_at_ms
-        self.permit.note_broken_run(self.server.row.name, run_ms)
+        self.permit.record_failed_run(self.server.row.name, run_ms)
 
 
 @dataclass
@@ -220,7 +220,7 @@
             self.evidence.fail(attempt, kind)
             if isinstance(error, ConnectionLostError):
                 run_ms = monotonic_ms() - attempt.mark_ms
-                permit.note_broken_run(server.row.name, run_ms)
+                permit.record_failed_run(server.row.name, run_ms)
             raise
 
     def _apply_head(self, outgoing: OutgoingAttempt, answer: BackendAnswer) -> None:
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -49,7 +49,7 @@
         """Count a request at once, before the server's next load report includes it."""
         if server.tells_load:
             load = server.told_load_at(now_ms) + 1 / server.row.slots
-            server.note_load(load, now_ms)
+            server.record_load(load, now_ms)
         server.begin_request()
         self._announce_load(server)
 
@@ -69,14 +69,14 @@
         is_good = answer.status < SERVER_ERROR and not answer.is_shed
         # A response to a request that failed or did not run may lack the limit header,
         # so only a good response without the header removes a limit.
-        self.board.limits.note(
+        self.board.limits.record_headers(
             server.row.name, server.pushback, pushback, now_ms, ends_without=is_good
         )
         if is_good and self.board.on_good_answer is not None:
             self.board.on_good_answer(server.row.name)
         reported = parse_load(answer.header(answer.names.load))
         if reported is not None:
-            server.note_load(reported, now_ms)
+            server.record_load(reported, now_ms)
             self._announce_load(server)
 
     def record_shed(
@@ -94,8 +94,8 @@
             server.in_flight,
             max(server.pause_until_ms, server.pushback.backoff_until_ms) - now_ms,
         )
-        if self.board.on_turned_away is not None:
-            self.board.on_turned_away(server.row.name)
+        if self.board.on_rejection is not None:
+            self.board.on_rejection(server.row.name)
 
     def record_held_back(
         self, outgoing: OutgoingAttempt, error: CinderwayError
@@ -126,7 +126,9 @@
                 outgoing,
                 pushback.backoff_ms,
             )
-        self.board.pushback.note(server.row.name, server.pushback, pushback, now_ms)
+        self.board.pushback.record_headers(
+            server.row.name, server.pushback, pushback, now_ms
+        )
         if pushback.is_leaving:
             self.evidence.drain_seen(outgoing.attempt)
 
--- a/src/cinderway/entry/servers/_permit.py
+++ b/src/cinderway/entry/servers/_permit.py
@@ -27,10 +27,10 @@
         """Pay for resending a request that may have run; return False if refused."""
         return True
 
-    def note_broken_run(self, server: ServerName, run_ms: int) -> None:
+    def record_failed_run(self, server: ServerName, run_ms: int) -> None:
         """Record that a connection broke while the server had the request."""
 
-    def note_good_run(self) -> None:
+    def record_successful_run(self) -> None:
         """Record that a server answered the request successfully."""
 
 
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -97,7 +97,7 @@
     async def _connect(self, server: ModelServer, way_s: float) -> None:
         if server.is_dark:
             await anyio.sleep(self._connect_limit.limit_ms / 1000)
-            self._connect_limit.note_missed()
+            self._connect_limit.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 "cannot connect: timed out",
@@ -112,7 +112,7 @@
                 step=Step.CONNECT,
                 peer=server.address,
             )
-        self._connect_limit.note_made(2000 * way_s)
+        self._connect_limit.record_connect_time(2000 * way_s)
         self.opened += 1
 
     async def _run(
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -99,8 +99,8 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._reports.send_evidence, self)
                 tasks.start_soon(self._reports.send_loads, self)
-                tasks.start_soon(self._reports.send_runs, self)
-                tasks.start_soon(self._reports.send_turned_away, self)
+                tasks.start_soon(self._reports.send_ended_runs, self)
+                tasks.start_soon(self._reports.send_rejecting_servers, self)
                 tasks.start_soon(self._reports.send_limits, self)
 
     async def serve(self, scope: dict, receive: Callable, send: Callable) -> None:
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -36,7 +36,7 @@
     sheet_sent_at_ms: dict[int, int] = field(default_factory=dict)
     first_heard_at_ms: int = 0
 
-    def note_sheet(self, sequence: int, now_ms: int) -> None:
+    def record_sent_sheet(self, sequence: int, now_ms: int) -> None:
         """Record that a sheet with this sequence number is sent."""
         self.sheet_sequence = sequence
         self.sheet_sent_at_ms[sequence] = now_ms
--- a/src/cinderway/judgement/_suspicion.py
+++ b/src/cinderway/judgement/_suspicion.py
@@ -44,7 +44,7 @@
     # How often each server was unreachable since its last good answer.
     _unreachable_counts: Counter[ServerName] = field(default_factory=Counter)
 
-    def note_alarm(self, server: ServerName, kind: Bad, now_ms: int) -> int | None:
+    def record_alarm(self, server: ServerName, kind: Bad, now_ms: int) -> int | None:
         """Record a failed or overdue request; return the suspicion's end if it changed.
 
         Failures within `UNDER_WAY_MS` of another one do not renew the suspicion, as
@@ -69,11 +69,11 @@
         doublings = min(self._unreachable_counts[server], MAX_UNREACHABLE_DOUBLINGS)
         return FADES_MS * 2**doublings
 
-    def note_good(self, server: ServerName) -> None:
+    def record_good(self, server: ServerName) -> None:
         """Record a good answer, which shows that the server is reachable."""
         self._unreachable_counts.pop(server, None)
 
-    def note_late_answer(self, server: ServerName) -> bool:
+    def record_late_answer(self, server: ServerName) -> bool:
         """Record an answer to an overdue request; True if it ends a suspicion."""
         if server not in self._overdue_only:
             return False
--- a/src/cinderway/limits/_admission.py
+++ b/src/cinderway/limits/_admission.py
@@ -98,7 +98,7 @@
         if self._count_by_caller[caller] <= 0:
             del self._count_by_caller[caller]
 
-    def note_service_time(self, duration_ms: float) -> None:
+    def record_service_time(self, duration_ms: float) -> None:
         """Update the moving average with the duration of one response."""
         if self.service_time_ms == 0:
             self.service_time_ms = duration_ms
--- a/src/cinderway/limits/_connect_limit.py
+++ b/src/cinderway/limits/_connect_limit.py
@@ -46,7 +46,7 @@
             MAXIMUM_TIMEOUT_MS,
         )
 
-    def note_made(self, duration_ms: float) -> None:
+    def record_connect_time(self, duration_ms: float) -> None:
         """Record the time that a successful connection took."""
         self._consecutive_timeouts = 0
         if self._smoothed_ms is None:
@@ -56,6 +56,6 @@
         self._deviation_ms += DEVIATION_GAIN * (difference_ms - self._deviation_ms)
         self._smoothed_ms += TIME_GAIN * (duration_ms - self._smoothed_ms)
 
-    def note_missed(self) -> None:
+    def record_timeout(self) -> None:
         """Record a connection attempt that timed out."""
         self._consecutive_timeouts += 1
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -57,7 +57,7 @@
         self._suspects: dict[RequestDigest, _SuspectRequest] = {}
         self._rulings: dict[RequestDigest, Ruling] = {}
 
-    def note_end(
+    def record_end(
         self, digest: RequestDigest, server: ServerName, now_ms: int
     ) -> Ruling | None:
         """Record that a server ended under a request; return a new ruling, if any.
@@ -79,7 +79,7 @@
             return None
         return self._make_ruling(digest, standing, suspect, held, now_ms)
 
-    def note_good(self, digest: RequestDigest, now_ms: int) -> Ruling | None:
+    def record_good(self, digest: RequestDigest, now_ms: int) -> Ruling | None:
         """Record a good answer to a request; return a new ruling, if any.
 
         If there was no ruling, the earlier ends are discarded.
@@ -113,10 +113,10 @@
             self._suspects.pop(ruling.digest, None)
         return True
 
-    def note_runs(self, runs: RequestRuns, now_ms: int) -> list[Ruling]:
+    def record_runs(self, runs: RequestRuns, now_ms: int) -> list[Ruling]:
         """Record an entry's observations; return the new rulings."""
-        found = [self.note_end(run.digest, run.server, now_ms) for run in runs.ended]
-        found += [self.note_good(digest, now_ms) for digest in runs.good]
+        found = [self.record_end(run.digest, run.server, now_ms) for run in runs.ended]
+        found += [self.record_good(digest, now_ms) for digest in runs.good]
         return [ruling for ruling in found if ruling is not None]
 
     def apply_rulings(self, message: RequestRulings, now_ms: int) -> list[Ruling]:
--- a/src/cinderway/pushback/_book.py
+++ b/src/cinderway/pushback/_book.py
@@ -146,7 +146,7 @@
         """
         return self._servers.get(server) or ServerPushback()
 
-    def note(
+    def record_headers(
         self,
         server: ServerName,
         pushback: ServerPushback,
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -36,7 +36,7 @@
     def setUp(self):
         self.machine, self.tally = CatalogMachine(), PoisonTally()
         for server in ("a", "b", "c"):
-            self.tally.note_end(DIGEST, server, 0)
+            self.tally.record_end(DIGEST, server, 0)
 
     def restored_standing(self, now_ms, wall_ms):
         """Return the request's standing at a replica that has the snapshot only."""
@@ -58,7 +58,7 @@
 
     def test_the_refusal_of_a_cleared_request_is_removed(self):
         commit_due(self.machine, self.tally)
-        self.tally.note_good(DIGEST, 1)
+        self.tally.record_good(DIGEST, 1)
         self.assertEqual(commit_due(self.machine, self.tally, now_ms=1), 1)
         self.assertIs(self.restored_standing(2, WALL_MS + 2), Standing.UNKNOWN)
 
@@ -71,7 +71,7 @@
     def test_a_watched_request_is_not_stored(self):
         tally = PoisonTally()
         for server in ("a", "b"):
-            tally.note_end(DIGEST, server, 0)
+            tally.record_end(DIGEST, server, 0)
         self.assertEqual(commit_due(CatalogMachine(), tally), 0)
 
     def test_refusals_do_not_change_the_catalog_revision(self):
--- a/tests/entry/callers/test_handler.py
+++ b/tests/entry/callers/test_handler.py
@@ -85,7 +85,7 @@
     def test_a_request_that_ends_servers_is_refused_and_others_are_served(self):
         self.assertEqual(self.ask()[0], 200)
         for number in range(ENDS_TO_REFUSE):
-            self.attempts.requests[0].permit.note_broken_run(f"s{number}", 90)
+            self.attempts.requests[0].permit.record_failed_run(f"s{number}", 90)
         status, headers = self.ask()
         self.assertEqual(status, 503)
         self.assertEqual(headers[b"cinderway-outcome"], b"not_run")
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -181,7 +181,7 @@
             for attempt in (b"a1", b"a2"):
                 caller = Caller(60_000, headers=[(b"cinderway-attempt", attempt)])
                 anyio.run(self.serve, caller)
-                self.attempts.requests[-1].permit.note_broken_run("i-1", 90)
+                self.attempts.requests[-1].permit.record_failed_run("i-1", 90)
         first, second = (line.partition("a run of request ")[2] for line in logs.output)
         self.assertTrue(first.startswith("a1 broke off at i-1 after 90 ms; digest "))
         self.assertEqual(first.removeprefix("a1"), second.removeprefix("a2"))
@@ -192,7 +192,7 @@
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests.pop().permit
         for number in range(ended):
-            permit.note_broken_run(f"i-{number}", 90)
+            permit.record_failed_run(f"i-{number}", 90)
         caller = Caller(60_000, headers=[(b"cinderway-attempt", b"again")])
         return anyio.run(self.serve, caller), caller
 
@@ -222,7 +222,7 @@
         permit = self.attempts.requests[0].permit
         self.assertTrue(permit.holds)
         for number in range(ENDS_TO_REFUSE):
-            permit.note_broken_run(f"i-{number}", 90)
+            permit.record_failed_run(f"i-{number}", 90)
         self.assertFalse(permit.holds)
         self.assertIs(permit.refusal().step, Step.QUEUE)
 
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -40,7 +40,7 @@
 
 def set_load(peers, name, load):
     """Make a server report its load to an entry."""
-    server_of(peers, name).note_load(load, monotonic_ms())
+    server_of(peers, name).record_load(load, monotonic_ms())
     peers.state.board.on_load(name)
 
 
@@ -51,7 +51,7 @@
 class HallPeersTests(unittest.TestCase):
     def test_a_server_that_fails_at_one_entry_is_suspect_at_another(self):
         one, other = entry("e1"), entry("e2")
-        one.state.note_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", Bad.ERROR)
         for message in one.take_pending_messages():
             other.receive_datagram(one.encode_datagram(message))
         self.assertGreater(server_of(other, "a").suspect_until_ms, monotonic_ms())
@@ -68,7 +68,7 @@
 
     def test_changes_are_sent_once(self):
         one = entry("e1")
-        one.state.note_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", Bad.ERROR)
         self.assertEqual(len(list(one.take_pending_messages())), 1)
         self.assertEqual(list(one.take_pending_messages()), [])
 
@@ -121,5 +121,5 @@
 
         anyio.run(run)
         self.assertEqual(one.sent_messages, 0)
-        untold = one.state.take_loads(server_of(one, "a").load_known_at_ms)
+        untold = one.state.pop_loads(server_of(one, "a").load_known_at_ms)
         self.assertEqual(untold, ServerLoads([ServerLoad("a", 0.75)]))
--- a/tests/entry/servers/test_dispatch.py
+++ b/tests/entry/servers/test_dispatch.py
@@ -53,7 +53,7 @@
     def __init__(self):
         self.broken_servers = []
 
-    def note_broken_run(self, server, run_ms):
+    def record_failed_run(self, server, run_ms):
         self.broken_servers.append(server)
 
 
--- a/tests/entry/servers/test_queue_check.py
+++ b/tests/entry/servers/test_queue_check.py
@@ -57,7 +57,7 @@
         for state, (load, suspicion, _, _, is_warming_up) in zip(
             self.service.servers.values(), servers, strict=True
         ):
-            state.note_load(load, now_ms)
+            state.record_load(load, now_ms)
             state.suspect_until_ms = now_ms + round(suspicion * SUSPECT_MS)
             state.warm_until_ms = now_ms + FAR_FUTURE_MS if is_warming_up else 0
         evidence = EvidenceLog()
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -101,13 +101,13 @@
         server = self.servers["a"]
         self.dispatcher.notes.send(server, server.load_known_at_ms)
         now_ms = server.load_known_at_ms
-        reported = self.state.take_loads(now_ms)
+        reported = self.state.pop_loads(now_ms)
         self.assertEqual(reported.servers, [ServerLoad("a", 0.75, in_flight=1)])
-        self.assertEqual(self.state.take_loads(now_ms).servers, [])
+        self.assertEqual(self.state.pop_loads(now_ms).servers, [])
 
     def test_no_load_is_reported_for_servers_that_report_none(self):
         self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
-        reported = self.state.take_loads(monotonic_ms())
+        reported = self.state.pop_loads(monotonic_ms())
         self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["a"].known_load, 0)
 
@@ -133,11 +133,11 @@
 
     def test_all_requests_in_flight_are_reported_to_the_next_replica(self):
         self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
-        self.state.take_loads(monotonic_ms())
+        self.state.pop_loads(monotonic_ms())
         others = ServerLoads([ServerLoad("a", NO_LOAD, 4), ServerLoad("b", NO_LOAD, 4)])
         self.state.receive_fleet_loads(others, monotonic_ms())
         self.state.follow_anew()
-        reported = self.state.take_loads(monotonic_ms())
+        reported = self.state.pop_loads(monotonic_ms())
         self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["b"].fleet_in_flight, 0)
 
@@ -160,25 +160,25 @@
         self.state.install(catalog(["a", "b"]).update_since(0), now_ms=0)
 
     def reported(self):
-        return self.state.take_turned_away(monotonic_ms()).servers
+        return self.state.pop_rejecting_servers(monotonic_ms()).servers
 
     def test_a_server_that_rejects_many_requests_is_reported_once(self):
         for _ in range(50):
-            self.state.board.on_turned_away(ServerName("a"))
+            self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), ["a"])
-        self.state.board.on_turned_away(ServerName("a"))
+        self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), [])
-        self.assertFalse(self.state.turned_away.is_set())
+        self.assertFalse(self.state.has_rejections.is_set())
 
     def test_a_server_that_another_entry_has_just_reported_is_not_reported_again(self):
         self.state.receive_message(SuspectServers(["a"], [FADES_MS]), monotonic_ms())
-        self.state.board.on_turned_away(ServerName("a"))
+        self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), [])
 
     def test_a_server_that_another_entry_reported_earlier_is_reported_again(self):
         left_ms = FADES_MS - UNDER_WAY_MS
         self.state.receive_message(SuspectServers(["a"], [left_ms]), monotonic_ms())
-        self.state.board.on_turned_away(ServerName("a"))
+        self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), ["a"])
 
 
@@ -187,6 +187,6 @@
         board = Blackboard(EntryName("e1"), SUVA, random.Random(1))
         state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
         awaited = state.loads_changed
-        state.take_loads(monotonic_ms())
+        state.pop_loads(monotonic_ms())
         board.on_load(ServerName("a"))
         self.assertTrue(awaited.is_set())
--- a/tests/entry/test_poison_watch.py
+++ b/tests/entry/test_poison_watch.py
@@ -22,7 +22,7 @@
 def refused(digest=D, at_ms=0):
     """Return a replica's ruling on a request during which three servers ended."""
     tally = PoisonTally()
-    rulings = [tally.note_end(digest, server, at_ms) for server in SERVERS]
+    rulings = [tally.record_end(digest, server, at_ms) for server in SERVERS]
     return RequestRuling.of(rulings[-1], at_ms)
 
 
@@ -44,18 +44,18 @@
 
     def test_a_broken_run_is_reported_once(self):
         self.watch.record_broken_run(D, "a")
-        self.assertTrue(self.watch.has_news.is_set())
-        self.assertEqual(self.watch.take_runs().ended, [EndedRun(D, "a")])
-        self.assertEqual(self.watch.take_runs(), RequestRuns([], []))
-        self.assertFalse(self.watch.has_news.is_set())
+        self.assertTrue(self.watch.has_changes.is_set())
+        self.assertEqual(self.watch.pop_runs().ended, [EndedRun(D, "a")])
+        self.assertEqual(self.watch.pop_runs(), RequestRuns([], []))
+        self.assertFalse(self.watch.has_changes.is_set())
 
     def test_runs_that_could_not_be_reported_come_first_in_the_next_report(self):
         self.watch.record_broken_run(D, "a")
-        runs = self.watch.take_runs()
+        runs = self.watch.pop_runs()
         self.watch.record_broken_run(E, "b")
-        self.watch.put_back(runs)
-        self.assertTrue(self.watch.has_news.is_set())
-        ended = self.watch.take_runs().ended
+        self.watch.requeue(runs)
+        self.assertTrue(self.watch.has_changes.is_set())
+        ended = self.watch.pop_runs().ended
         self.assertEqual(ended, [EndedRun(D, "a"), EndedRun(E, "b")])
 
     def test_three_ends_seen_by_one_entry_are_refused_without_a_replica(self):
@@ -86,18 +86,18 @@
 
     def test_a_good_answer_is_reported_if_it_clears_a_request(self):
         self.watch.record_good_answer(E)
-        self.assertFalse(self.watch.has_news.is_set())
+        self.assertFalse(self.watch.has_changes.is_set())
         self.watch.receive_rulings(rulings_of(refused()))
         self.watch.record_good_answer(D)
         self.assertIsNone(self.watch.find_refusal(D))
-        self.assertEqual(self.watch.take_runs().good, [D])
+        self.assertEqual(self.watch.pop_runs().good, [D])
 
     def test_a_ruling_is_contradicted_by_a_good_answer_since_then(self):
         """Guards against refusing a frequent read that was in flight at every end."""
         self.watch.record_good_answer(D)
         self.watch.receive_rulings(rulings_of(refused(at_ms=self.now_ms)))
         self.assertIsNone(self.watch.find_refusal(D))
-        self.assertEqual(self.watch.take_runs().good, [D])
+        self.assertEqual(self.watch.pop_runs().good, [D])
         self.assertEqual(self.woken, [])
 
     def test_good_answers_before_the_first_end_have_no_effect(self):
@@ -121,7 +121,7 @@
     def test_a_report_is_bounded(self):
         for number in range(2 * REPORT_LIMIT):
             self.watch.record_broken_run(RequestDigest(number.to_bytes(16)), "a")
-        self.assertEqual(len(self.watch.take_runs().ended), REPORT_LIMIT)
+        self.assertEqual(len(self.watch.pop_runs().ended), REPORT_LIMIT)
 
     def test_a_replica_without_rulings_gets_the_current_ones(self):
         self.watch.receive_rulings(rulings_of(refused()))
--- a/tests/experiment/test_pushback.py
+++ b/tests/experiment/test_pushback.py
@@ -42,7 +42,7 @@
 class BusyServersTests(unittest.TestCase):
     def assert_telling_pays(self, experiment):
         with_telling = refused_share(experiment)
-        with patch.object(CatalogBoard, "_note_turned_away"):
+        with patch.object(CatalogBoard, "_record_rejection"):
             without = refused_share(experiment)
         self.assertLess(with_telling, 0.5 * without)
 
--- a/tests/judgement/test_assessor.py
+++ b/tests/judgement/test_assessor.py
@@ -34,8 +34,8 @@
 
     def test_old_report_is_dropped_by_the_age_of_the_sheet_that_it_names(self):
         reporter = ReporterState()
-        reporter.note_sheet(1, now_ms=0)
-        reporter.note_sheet(2, now_ms=5_000)
+        reporter.record_sent_sheet(1, now_ms=0)
+        reporter.record_sent_sheet(2, now_ms=5_000)
         self.assertFalse(reporter.accept(report(1, 1), REPORT_VALID_MS + 1))
         self.assertTrue(reporter.accept(report(2, 2), 5_000 + REPORT_VALID_MS))
 
--- a/tests/judgement/test_suspicion.py
+++ b/tests/judgement/test_suspicion.py
@@ -9,13 +9,13 @@
         self.suspicions = Suspicions()
 
     def fail(self, now_ms):
-        return self.suspicions.note_alarm("s", Bad.ERROR, now_ms)
+        return self.suspicions.record_alarm("s", Bad.ERROR, now_ms)
 
     def overdue(self, now_ms):
-        return self.suspicions.note_alarm("s", Bad.OVERDUE, now_ms)
+        return self.suspicions.record_alarm("s", Bad.OVERDUE, now_ms)
 
     def unreachable(self, now_ms):
-        return self.suspicions.note_alarm("s", Bad.UNREACHABLE, now_ms)
+        return self.suspicions.record_alarm("s", Bad.UNREACHABLE, now_ms)
 
     def test_one_failure_makes_a_server_suspect_for_a_bursts_length(self):
         self.assertEqual(self.fail(100), 100 + FADES_MS)
@@ -48,23 +48,23 @@
 
     def test_late_answer_ends_a_suspicion_due_to_an_overdue_request(self):
         self.overdue(0)
-        self.assertTrue(self.suspicions.note_late_answer("s"))
+        self.assertTrue(self.suspicions.record_late_answer("s"))
         self.assertEqual(self.suspicions, Suspicions())
 
     def test_late_answer_does_not_end_a_suspicion_due_to_a_failed_request(self):
         self.overdue(0)
         self.fail(10)
-        self.assertFalse(self.suspicions.note_late_answer("s"))
+        self.assertFalse(self.suspicions.record_late_answer("s"))
 
     def test_late_answer_does_not_end_a_suspicion_that_began_with_a_failure(self):
         self.fail(0)
         self.overdue(UNDER_WAY_MS)
-        self.assertFalse(self.suspicions.note_late_answer("s"))
+        self.assertFalse(self.suspicions.record_late_answer("s"))
 
     def test_late_answer_ends_a_suspicion_that_began_after_a_failures_expired(self):
         until_ms = self.fail(0)
         self.overdue(until_ms)
-        self.assertTrue(self.suspicions.note_late_answer("s"))
+        self.assertTrue(self.suspicions.record_late_answer("s"))
 
     def test_repeatedly_unreachable_server_is_avoided_for_longer_each_time(self):
         now_ms, lengths = 0, []
@@ -76,7 +76,7 @@
 
     def test_good_answer_resets_the_time_for_an_unreachable_server(self):
         now_ms = self.unreachable(0)
-        self.suspicions.note_good("s")
+        self.suspicions.record_good("s")
         self.assertEqual(self.unreachable(now_ms), now_ms + FADES_MS)
 
     def test_simultaneous_connection_failures_count_as_one(self):
--- a/tests/limits/test_connect_limit.py
+++ b/tests/limits/test_connect_limit.py
@@ -10,7 +10,7 @@
     def train(self, duration_ms):
         limit = ConnectLimit()
         for _ in range(50):
-            limit.note_made(duration_ms)
+            limit.record_connect_time(duration_ms)
         return limit
 
     def test_initial_timeout_is_the_maximum(self):
@@ -24,15 +24,15 @@
 
     def test_a_single_timeout_does_not_lengthen_it(self):
         limit = self.train(4)
-        limit.note_missed()
+        limit.record_timeout()
         self.assertEqual(limit.limit_ms, MINIMUM_TIMEOUT_MS)
 
     def test_consecutive_timeouts_lengthen_it_until_a_connection_succeeds(self):
         limit = self.train(4)
         for _ in range(3):
-            limit.note_missed()
+            limit.record_timeout()
         self.assertEqual(limit.limit_ms, 4 * MINIMUM_TIMEOUT_MS)
-        limit.note_made(4)
+        limit.record_connect_time(4)
         self.assertEqual(limit.limit_ms, MINIMUM_TIMEOUT_MS)
 
     @given(st.lists(st.one_of(st.none(), st.floats(0, 5_000)), max_size=80))
@@ -40,7 +40,7 @@
         limit = ConnectLimit()
         for duration_ms in durations_ms:
             if duration_ms is None:
-                limit.note_missed()
+                limit.record_timeout()
             else:
-                limit.note_made(duration_ms)
+                limit.record_connect_time(duration_ms)
             self.assertTrue(MINIMUM_TIMEOUT_MS <= limit.limit_ms <= MAXIMUM_TIMEOUT_MS)
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -65,7 +65,7 @@
 class AdmissionTest(unittest.TestCase):
     def setUp(self):
         self.admission = Admission()
-        self.admission.note_service_time(100.0)
+        self.admission.record_service_time(100.0)
 
     def decide(self, remaining_ms=10_000, caller="ana"):
         return self.admission.decide(SERVICE, caller, remaining_ms, usable_slots=2)
--- a/tests/poison/test_tally.py
+++ b/tests/poison/test_tally.py
@@ -23,7 +23,7 @@
         self.tally = PoisonTally()
 
     def end(self, *servers, digest=D, at_ms=0):
-        return [self.tally.note_end(digest, server, at_ms) for server in servers]
+        return [self.tally.record_end(digest, server, at_ms) for server in servers]
 
     def standing(self, at_ms=0, digest=D):
         return self.tally.standing_of(digest, at_ms)
@@ -51,7 +51,7 @@
 
     def test_good_answer_clears_it_and_restarts_the_count(self):
         self.end("a", "b", "c")
-        ruling = self.tally.note_good(D, 1)
+        ruling = self.tally.record_good(D, 1)
         self.assertIs(ruling.standing, Standing.CLEARED)
         self.end("d", at_ms=2)
         self.assertIs(self.standing(2), Standing.CLEARED)
@@ -60,7 +60,7 @@
 
     def test_good_answer_before_any_ruling_resets_the_count(self):
         self.end("a")
-        self.assertIsNone(self.tally.note_good(D, 1))
+        self.assertIsNone(self.tally.record_good(D, 1))
         self.end("b", at_ms=2)
         self.assertIs(self.standing(2), Standing.UNKNOWN)
 
@@ -80,7 +80,7 @@
 
     def test_good_answer_after_an_expired_refusal_resets_the_refusals(self):
         self.end("a", "b", "c")
-        self.tally.note_good(D, REFUSED_FOR_MS + 1)
+        self.tally.record_good(D, REFUSED_FOR_MS + 1)
         at_ms = REFUSED_FOR_MS + 1 + CLEARED_FOR_MS
         self.end("d", at_ms=at_ms)
         self.assertIs(self.standing(at_ms), Standing.UNKNOWN)
@@ -94,7 +94,7 @@
     def test_barred_request_is_sent_again_only_after_an_operator_lifts_it(self):
         self.tally.bar(D, 0)
         self.end("a")
-        self.assertIsNone(self.tally.note_good(D, 1))
+        self.assertIsNone(self.tally.record_good(D, 1))
         self.assertFalse(self.standing(1).is_sent)
         self.tally.lift(D, 2)
         self.assertTrue(self.standing(2).is_sent)
@@ -102,10 +102,10 @@
     def test_rulings_of_other_processes_apply_by_round_number(self):
         other = PoisonTally()
         for server in ("a", "b", "c"):
-            refused = self.tally.note_end(D, server, 0)
+            refused = self.tally.record_end(D, server, 0)
         self.assertTrue(other.apply_ruling(refused, 0))
         self.assertFalse(other.apply_ruling(refused, 0))
-        cleared = other.note_good(D, 1)
+        cleared = other.record_good(D, 1)
         self.assertTrue(self.tally.apply_ruling(cleared, 1))
         self.assertFalse(self.tally.apply_ruling(refused, 1))
         self.assertIs(self.standing(1), Standing.CLEARED)
@@ -150,13 +150,13 @@
         tally = tallies[index]
         match what:
             case "good":
-                tally.note_good(D, now_ms)
+                tally.record_good(D, now_ms)
             case "tell":
                 for ruling in tally.rulings(now_ms):
                     for other in tallies:
                         other.apply_ruling(ruling, now_ms)
             case server:
-                tally.note_end(D, ServerName(f"s{server}"), now_ms)
+                tally.record_end(D, ServerName(f"s{server}"), now_ms)
 
     @given(STEPS)
     def test_request_with_fewer_than_three_ends_is_never_refused(self, steps):
@@ -164,10 +164,10 @@
         for _, what, pause_ms in steps:
             now_ms += pause_ms
             if what == "good":
-                tally.note_good(D, now_ms)
+                tally.record_good(D, now_ms)
                 ends.clear()
             elif what != "tell":
-                tally.note_end(D, ServerName(f"s{what}"), now_ms)
+                tally.record_end(D, ServerName(f"s{what}"), now_ms)
                 ends.add(what)
             if len(ends) < ENDS_TO_REFUSE:
                 self.assertIsNot(tally.standing_of(D, now_ms), Standing.REFUSED)
--- a/tests/pushback/test_book.py
+++ b/tests/pushback/test_book.py
@@ -19,7 +19,7 @@
 
 def record(words, now_ms=1_000, book=None):
     book = book or PushbackBook()
-    book.note(SERVER, book.of(SERVER), words, now_ms)
+    book.record_headers(SERVER, book.of(SERVER), words, now_ms)
     return book
 
 
@@ -69,6 +69,6 @@
         book = record(BACKOFF)
         for number in range(MAXIMUM_TRACKED_SERVERS):
             name = ServerName(f"other-{number}")
-            book.note(name, book.of(name), BACKOFF, 1_000)
+            book.record_headers(name, book.of(name), BACKOFF, 1_000)
         self.assertFalse(book.of(SERVER).is_backing_off(1_001))
         self.assertTrue(book.of(ServerName("other-0")).is_backing_off(1_001))
