--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -35,7 +35,7 @@
 class OwnFailuresOnly(EvidenceLog):
     """Without censored evidence: a request counts once it has failed."""
 
-    def sweep(self, now_ms):
+    def record_overdue(self, now_ms):
         """Count nothing early."""
 
     def late_after_ms(self, service):
@@ -76,7 +76,7 @@
         """Judge until cancelled."""
         while True:
             await anyio.sleep(PAUSE_S)
-            for (service, server), counts in self.evidence.take().items():
+            for (service, server), counts in self.evidence.pop_counts().items():
                 key = (service, server)
                 if counts.good:
                     self.failures[key] = 0
@@ -102,7 +102,7 @@
         connections = BackendConnections()
         while True:
             await anyio.sleep(HEALTH_PAUSE_S)
-            self.evidence.take()
+            self.evidence.pop_counts()
             for service in list(self.board.services.values()):
                 for server in service.servers.values():
                     await self._probe(connections, service, server)
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -79,7 +79,7 @@
         for evidence in _evidence_decoder.decode(batch.servers):
             judge = self._judges.setdefault(evidence.service, ServiceJudge())
             judge.record_reporter(batch.entry, batch.data_hall, now_ms)
-            judge.observe(
+            judge.record_evidence(
                 batch.entry,
                 batch.data_hall,
                 evidence,
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -248,7 +248,7 @@
             self.routes = RouteIndex(sheet)
             self._install_accounts(sheet.accounts)
             self._routes_received.set()
-            self.evidence.assume_paces(_compute_objectives(sheet))
+            self.evidence.set_objectives(_compute_objectives(sheet))
         self._refresh(now_ms)
         return True
 
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -49,17 +49,17 @@
                 size_bytes += len(chunk)
                 if size_bytes > limit_bytes:
                     raise _build_too_large_error(exchange, limit_bytes)
-                dispatcher.evidence.progress(
+                dispatcher.evidence.record_progress(
                     exchange.attempt, len(chunk), monotonic_ms()
                 )
     except TimeoutError as error:
-        dispatcher.evidence.fail(exchange.attempt, Bad.OVERDUE)
+        dispatcher.evidence.record_failure(exchange.attempt, Bad.OVERDUE)
         raise _build_cut_error(
             exchange, "the body did not end before the deadline"
         ) from error
     except CinderwayError as error:
         if error.code is ErrorCode.ANSWER_CUT_SHORT:
-            dispatcher.evidence.fail(exchange.attempt, Bad.CUT)
+            dispatcher.evidence.record_failure(exchange.attempt, Bad.CUT)
             exchange.record_broken_connection()
         raise
     body = b"".join(parts)
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -85,15 +85,15 @@
                 if chunk is None:
                     return
                 before_ms = monotonic_ms()
-                evidence.progress(exchange.attempt, len(chunk), before_ms)
+                evidence.record_progress(exchange.attempt, len(chunk), before_ms)
                 await transfer.reply.send_chunk(chunk)
                 transfer.download.sent_bytes += len(chunk)
                 blocked_ms = monotonic_ms() - before_ms
-                evidence.caller_blocked(exchange.attempt, blocked_ms)
+                evidence.exclude_blocked_time(exchange.attempt, blocked_ms)
         except CinderwayError:
             # Not recorded as a sign that the server ended: a download that breaks is
             # resumed at another server, as often as necessary.
-            evidence.fail(exchange.attempt, Bad.CUT)
+            evidence.record_failure(exchange.attempt, Bad.CUT)
             raise
         finally:
             await chunks.aclose()
--- a/src/cinderway/entry/fleet/_catalog_reports.py
+++ b/src/cinderway/entry/fleet/_catalog_reports.py
@@ -52,11 +52,11 @@
                 await self._state.has_alarms.wait()
             self._state.has_alarms = anyio.Event()
             now_ms = monotonic_ms()
-            evidence.sweep(now_ms)
+            evidence.record_overdue(now_ms)
             is_due = now_ms - reported_at_ms >= BATCH_INTERVAL_MS
-            if not evidence.has_urgent and not is_due:
+            if not evidence.has_urgent_evidence and not is_due:
                 continue
-            counts = evidence.take()
+            counts = evidence.pop_counts()
             if counts:
                 reported_at_ms = now_ms
                 await self._send_evidence_batch(connection, counts)
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -101,12 +101,12 @@
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
             now_ms = monotonic_ms()
-            self.evidence.sweep(now_ms)
+            self.evidence.record_overdue(now_ms)
             if now_ms - self._chosen_at_ms >= CHOOSE_INTERVAL_MS:
                 self._chosen_at_ms = now_ms
                 self._choose_assessors(now_ms)
             if (
-                self.evidence.has_urgent
+                self.evidence.has_urgent_evidence
                 or now_ms - self._reported_at_ms >= BATCH_INTERVAL_MS
             ):
                 self._reported_at_ms = now_ms
@@ -190,7 +190,7 @@
 
     async def _send_reports(self, now_ms: int) -> None:
         by_group: dict[int, list[ServerEvidence]] = {}
-        for (service, server), counts in self.evidence.take().items():
+        for (service, server), counts in self.evidence.pop_counts().items():
             group = by_group.setdefault(group_of(service), [])
             group.append(evidence_from(service, server, counts))
         for key, link in list(self._links.items()):
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -106,7 +106,9 @@
         self.notes.send(server, monotonic_ms())
         was_tried = server.row.name in exclude
         exclude.add(server.row.name)
-        attempt = self.evidence.begin(service.row.name, server.row.name, monotonic_ms())
+        attempt = self.evidence.start_attempt(
+            service.row.name, server.row.name, monotonic_ms()
+        )
         outgoing = OutgoingAttempt(
             service, server, attempt, attempt_id, Turn(server.pushback)
         )
@@ -124,14 +126,14 @@
                     exclude.discard(server.row.name)
                 raise
             try:
-                started_at_ms = attempt.mark_ms
+                started_at_ms = attempt.piece_started_at_ms
                 self._apply_head(outgoing, answer)
                 yield Exchange(answer, server, attempt, started_at_ms, permit)
             finally:
                 with anyio.CancelScope(shield=True):
                     await answer.aclose()
         finally:
-            self.evidence.end(attempt)
+            self.evidence.end_attempt(attempt)
             self.notes.end(server)
             service.free_slot()
 
@@ -143,7 +145,7 @@
         deadline_ms: int,
     ) -> None:
         """Send a probe to one server, without a slot; record the result as evidence."""
-        attempt = self.evidence.begin(
+        attempt = self.evidence.start_attempt(
             service.row.name, server.row.name, monotonic_ms(), is_probe=True
         )
         token = Turn(server.pushback)
@@ -157,13 +159,15 @@
             try:
                 self.notes.record_head(outgoing, answer, monotonic_ms())
                 if not answer.is_shed:
-                    self.evidence.first_byte(attempt, answer.status, monotonic_ms())
+                    self.evidence.record_first_byte(
+                        attempt, answer.status, monotonic_ms()
+                    )
                     await self._read_probe(answer, attempt, deadline_ms)
             finally:
                 with anyio.CancelScope(shield=True):
                     await answer.aclose()
         finally:
-            self.evidence.end(attempt)
+            self.evidence.end_attempt(attempt)
 
     async def _read_probe(
         self, answer: BackendAnswer, attempt: Attempt, deadline_ms: int
@@ -174,7 +178,7 @@
             async for chunk in answer.chunks():
                 size_bytes += len(chunk)
         if size_bytes >= PIECE_BYTES:
-            self.evidence.piece_end(attempt, monotonic_ms())
+            self.evidence.record_piece_end(attempt, monotonic_ms())
 
     async def _send(
         self,
@@ -201,7 +205,7 @@
                     objection=lambda: _check_before_write(outgoing, permit),
                 )
         except TimeoutError as error:
-            self.evidence.fail(attempt, Bad.OVERDUE)
+            self.evidence.record_failure(attempt, Bad.OVERDUE)
             raise CinderwayError(
                 ErrorCode.DEADLINE_PASSED,
                 "no response before the deadline",
@@ -217,9 +221,9 @@
                 raise
             is_unreachable = error.step is Step.CONNECT
             kind = Bad.UNREACHABLE if is_unreachable else Bad.CUT
-            self.evidence.fail(attempt, kind)
+            self.evidence.record_failure(attempt, kind)
             if isinstance(error, ConnectionLostError):
-                run_ms = monotonic_ms() - attempt.mark_ms
+                run_ms = monotonic_ms() - attempt.piece_started_at_ms
                 permit.record_failed_run(server.row.name, run_ms)
             raise
 
@@ -242,7 +246,7 @@
             raise _build_not_run_error(
                 server, ErrorCode.BACKEND_SHED, "the backend server shed the request"
             )
-        self.evidence.first_byte(outgoing.attempt, answer.status, now_ms)
+        self.evidence.record_first_byte(outgoing.attempt, answer.status, now_ms)
 
     def _shed_pause_ms(self, service: ServiceState) -> int:
         share = SHED_PAUSE_SHARE + self.board.rng.random()
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -130,7 +130,7 @@
             server.row.name, server.pushback, pushback, now_ms
         )
         if pushback.is_leaving:
-            self.evidence.drain_seen(outgoing.attempt)
+            self.evidence.record_draining(outgoing.attempt)
 
     def _announce_load(self, server: ServerState) -> None:
         if self.board.on_load is not None:
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -92,7 +92,7 @@
             service = table.service(evidence.service)
             if service is None or evidence.server not in table.servers_of(service.name):
                 continue
-            self.get_or_create_judge(service.name).observe(
+            self.get_or_create_judge(service.name).record_evidence(
                 report.entry, report.data_hall, evidence, service, now_ms
             )
 
--- a/src/cinderway/judgement/_evidence.py
+++ b/src/cinderway/judgement/_evidence.py
@@ -110,11 +110,11 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """A request in flight; `mark_ms` is when the wait for the current piece began."""
+    """A request in flight; the wait for the current piece began at `piece_started_at_ms`."""
 
     service: ServiceName
     server: ServerName
-    mark_ms: int
+    piece_started_at_ms: int
     piece_bytes: int = 0
     overdue_count: int = 0
     is_piece_overdue: bool = False
@@ -138,7 +138,7 @@
         """Set the answer times of a service, as aggregated over many entries."""
         self._paces[service] = pace
 
-    def assume_paces(self, objectives_ms: dict[ServiceName, int]) -> None:
+    def set_objectives(self, objectives_ms: dict[ServiceName, int]) -> None:
         """Set the latency objectives from which unknown paces are estimated."""
         self._assumed_paces = {
             service: Pace.from_objective(objective_ms)
@@ -160,7 +160,7 @@
         """Time after which an answer or a piece counts as a bad observation."""
         return self.pace(service).late_ms
 
-    def begin(
+    def start_attempt(
         self,
         service: ServiceName,
         server: ServerName,
@@ -175,49 +175,49 @@
             self._counts_of(attempt).probes += 1
         return attempt
 
-    def first_byte(self, attempt: Attempt, status: int, now_ms: int) -> None:
+    def record_first_byte(self, attempt: Attempt, status: int, now_ms: int) -> None:
         """Record the arrival of an answer's head."""
         if status >= 500:
             self._record_bad(attempt, Bad.ERROR)
         else:
             counts = self._counts_of(attempt)
-            counts.answer_times_ms.append(max(now_ms - attempt.mark_ms, 0))
+            counts.answer_times_ms.append(max(now_ms - attempt.piece_started_at_ms, 0))
             self._record_timing(attempt, now_ms)
             if attempt.is_piece_overdue:
                 self._record_late_answer(attempt, counts)
         self._start_next_piece(attempt, now_ms)
 
-    def progress(self, attempt: Attempt, size_bytes: int, now_ms: int) -> None:
+    def record_progress(self, attempt: Attempt, size_bytes: int, now_ms: int) -> None:
         """Record the arrival of a part of a streamed body."""
         attempt.piece_bytes += size_bytes
         if attempt.piece_bytes >= PIECE_BYTES:
             self._record_timing(attempt, now_ms)
             self._start_next_piece(attempt, now_ms)
 
-    def piece_end(self, attempt: Attempt, now_ms: int) -> None:
+    def record_piece_end(self, attempt: Attempt, now_ms: int) -> None:
         """Record the end of a probe's body, which counts as one piece."""
         self._record_timing(attempt, now_ms)
         self._start_next_piece(attempt, now_ms)
 
-    def drain_seen(self, attempt: Attempt) -> None:
+    def record_draining(self, attempt: Attempt) -> None:
         """Record the server's signal that it is draining."""
         self._counts_of(attempt).is_draining = True
 
-    def caller_blocked(self, attempt: Attempt, blocked_ms: int) -> None:
+    def exclude_blocked_time(self, attempt: Attempt, blocked_ms: int) -> None:
         """Exclude time during which the caller, not the server, blocked the stream."""
-        attempt.mark_ms += blocked_ms
+        attempt.piece_started_at_ms += blocked_ms
 
-    def fail(self, attempt: Attempt, kind: Bad) -> None:
+    def record_failure(self, attempt: Attempt, kind: Bad) -> None:
         """Record that the attempt failed; an overdue one is not counted again."""
         if not attempt.is_piece_overdue:
             self._record_bad(attempt, kind)
         self._in_flight.discard(attempt)
 
-    def end(self, attempt: Attempt) -> None:
+    def end_attempt(self, attempt: Attempt) -> None:
         """Record that the attempt is over, without a further observation."""
         self._in_flight.discard(attempt)
 
-    def sweep(self, now_ms: int) -> None:
+    def record_overdue(self, now_ms: int) -> None:
         """Count the requests that are in flight for too long as overdue."""
         for attempt in self._in_flight:
             if now_ms >= self._late_at_ms(attempt):
@@ -236,22 +236,22 @@
         if attempt.overdue_count >= OVERDUE_LIMIT:
             return math.inf
         limit_ms = self.late_after_ms(attempt.service) * (attempt.overdue_count + 1)
-        return attempt.mark_ms + limit_ms
+        return attempt.piece_started_at_ms + limit_ms
 
     @property
-    def has_urgent(self) -> bool:
+    def has_urgent_evidence(self) -> bool:
         """Whether there are observations to report without delay."""
         return any(
             c.bad or c.is_draining or c.late_answers for c in self._counts.values()
         )
 
-    def take(self) -> dict[tuple[ServiceName, ServerName], ServerCounts]:
+    def pop_counts(self) -> dict[tuple[ServiceName, ServerName], ServerCounts]:
         """Return the observations since the last call."""
         counts, self._counts = self._counts, {}
         return counts
 
     def _record_timing(self, attempt: Attempt, now_ms: int) -> None:
-        duration_ms = max(now_ms - attempt.mark_ms, 0)
+        duration_ms = max(now_ms - attempt.piece_started_at_ms, 0)
         counts = self._counts_of(attempt)
         # Slow answers count towards the normal time too, so that it rises when the
         # whole service becomes slower.
@@ -270,7 +270,7 @@
             self.on_late_answer(attempt.server)
 
     def _start_next_piece(self, attempt: Attempt, now_ms: int) -> None:
-        attempt.mark_ms = now_ms
+        attempt.piece_started_at_ms = now_ms
         attempt.piece_bytes = 0
         attempt.overdue_count = 0
         attempt.is_piece_overdue = False
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -97,7 +97,7 @@
         """Record that a reporter is active, even if it has no observations."""
         self._reporters[reporter] = Reporter(hall, now_ms)
 
-    def observe(
+    def record_evidence(
         self,
         reporter: EntryName,
         hall: DataHall,
--- a/tests/judgement/test_judge.py
+++ b/tests/judgement/test_judge.py
@@ -79,7 +79,9 @@
             time_sum_ms=25.0,
             time_count=1,
         )
-        self.judge.observe(entry, hall_of(entry), evidence, self.service, self.now_ms)
+        self.judge.record_evidence(
+            entry, hall_of(entry), evidence, self.service, self.now_ms
+        )
 
     def out(self, hall=None):
         return {
@@ -233,6 +235,6 @@
             for entry in ENTRIES:
                 judge.record_reporter(entry, "suva", now_ms)
                 evidence = ServerEvidence("lookup", "s0", overdue=1)
-                judge.observe(entry, "suva", evidence, service, now_ms)
+                judge.record_evidence(entry, "suva", evidence, service, now_ms)
             judge.decide(service, ["s0"], now_ms)
         self.assertIs(judge.records()[0].standing, Standing.HEALTHY)
