--- a/bench/allowances.py
+++ b/bench/allowances.py
@@ -28,7 +28,7 @@
 from cinderway.control import _allowances
 from cinderway.control._account_tokens import Standing
 from cinderway.control._allowances import Allowances
-from cinderway.limits import AllowanceLease, AllowanceRules, TokenAnswer
+from cinderway.limits import AllowanceLease, AllowanceRules, TokenGrant
 
 ENTRIES = 113
 REPLICA_HALLS = (0, 0, 1, 1, 2)
@@ -130,7 +130,7 @@
                 self.kill_replicas()
             if _Clock.now_ms % BORROW_MS == 0:
                 for replica in self.replicas.values():
-                    await replica.borrow_short()
+                    await replica.borrow_for_short_accounts()
             if _Clock.now_ms % TELL_MS == 0 and self.way != "share by entry":
                 await self.tell_all(length_ms)
             if self.rng.random() < self.sent_per_s * STEP_MS / 1000:
@@ -142,7 +142,7 @@
         for address in self.killed:
             del self.replicas[address]
         for entry in moved:
-            self.leases[entry].start_anew(_Clock.now_ms)
+            self.leases[entry].switch_replica(_Clock.now_ms)
 
     async def request(self, entry, length_ms):
         """Let an entry serve or refuse one request."""
@@ -164,14 +164,14 @@
             used.append(now_ms)
             return True
         lease = self.leases[entry]
-        if lease.take(now_ms):
+        if lease.consume(now_ms):
             return True
         if self.is_cut(entry, length_ms) or now_ms < lease.refused_until_ms:
             return False
         lease.waiting = 1
         await self.tell(entry)
         lease.waiting = 0
-        return lease.take(now_ms)
+        return lease.consume(now_ms)
 
     async def tell_all(self, length_ms):
         """Let entries report as they do at intervals."""
@@ -182,17 +182,17 @@
     async def tell(self, entry):
         """Bring one entry's ask to its replica and back."""
         lease, now_ms = self.leases[entry], _Clock.now_ms
-        ask = lease.begin_ask(now_ms)
-        line = HeldAllowance.of(NAME, ask)
+        ask = lease.begin_token_request(now_ms)
+        line = HeldAllowance.from_request(NAME, ask)
         if self.way == "ask for each":
             line = HeldAllowance(NAME, ask.used, ask.held, ask.needed, ask.needed)
         asked = AskAllowances([line])
         replica = self.replica_of(entry)
         first = replica.grant(entry, asked, now_ms)
-        answer = await replica.complete(entry, asked, first)
+        answer = await replica.borrow_missing(entry, asked, first)
         found = answer.lines[0]
-        granted = TokenAnswer(found.granted, found.room_in_ms)
-        lease.end_ask(granted, now_ms, now_ms + answer.lease_ms)
+        granted = TokenGrant(found.granted, found.room_in_ms)
+        lease.end_token_request(granted, now_ms, now_ms + answer.lease_ms)
         self.messages += 2
 
     @property
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -151,7 +151,7 @@
             last_ms[self.server] = now_ms
             return True
 
-        def give_back(self) -> None:
+        def release(self) -> None:
             """Lose it."""
 
     def use_share(book, server, turns, now_ms):
--- a/src/cinderway/catalog/_commands.py
+++ b/src/cinderway/catalog/_commands.py
@@ -22,7 +22,7 @@
     packed: bytes = b""
 
     @classmethod
-    def of(cls, body: bytes) -> "InstallSheet":
+    def from_body(cls, body: bytes) -> "InstallSheet":
         """Return the command that installs a validated sheet."""
         return cls(packed=pack(body))
 
--- a/src/cinderway/catalog/_conversation.py
+++ b/src/cinderway/catalog/_conversation.py
@@ -13,7 +13,7 @@
     ServerName,
     ServiceName,
 )
-from cinderway.limits import TokenAsk
+from cinderway.limits import TokenRequest
 from cinderway.poison import RequestRulings, RequestRuns
 from cinderway.pushback import FleetEntries, ServerLimits
 from cinderway.wire import (
@@ -225,14 +225,16 @@
     wanted: int = 0
 
     @classmethod
-    def of(cls, account: AccountName, ask: TokenAsk) -> "HeldAllowance":
+    def from_request(
+        cls, account: AccountName, request: TokenRequest
+    ) -> "HeldAllowance":
         """Return the row that carries a token request to a replica."""
-        return cls(account, ask.used, ask.held, ask.needed, ask.wanted)
+        return cls(account, request.used, request.held, request.needed, request.wanted)
 
     @property
-    def ask(self) -> TokenAsk:
-        """The token request that this row carries, as it was given to `of`."""
-        return TokenAsk(self.used, self.held, self.needed, self.wanted)
+    def request(self) -> TokenRequest:
+        """The token request that this row carries."""
+        return TokenRequest(self.used, self.held, self.needed, self.wanted)
 
 
 class AskAllowances(PackedMessage, frozen=True):
--- a/src/cinderway/catalog/_refusals.py
+++ b/src/cinderway/catalog/_refusals.py
@@ -25,7 +25,7 @@
     servers: list[ServerName]
 
     @classmethod
-    def of(cls, ruling: Ruling, now_ms: int) -> "RefusalRow":
+    def from_ruling(cls, ruling: Ruling, now_ms: int) -> "RefusalRow":
         """Return the row that shows a ruling to an operator."""
         return cls(
             ruling.digest.hex(),
--- a/src/cinderway/control/_account_tokens.py
+++ b/src/cinderway/control/_account_tokens.py
@@ -49,7 +49,7 @@
 
     def needed(self, now_ms: int) -> int:
         """Return the tokens charged for the own entries, without those lent."""
-        held = self.pool.held_by
+        held = self.pool.get_held_tokens
         lent = sum(held(borrower, now_ms) for borrower in self.borrowers)
         return self.pool.charged(now_ms) - lent
 
--- a/src/cinderway/control/_allowances.py
+++ b/src/cinderway/control/_allowances.py
@@ -35,7 +35,7 @@
     Standing,
 )
 from cinderway.control._commands import ReplicaCalls
-from cinderway.limits import AllowancePool, AllowanceRules, TokenAnswer, TokenAsk
+from cinderway.limits import AllowancePool, AllowanceRules, TokenGrant, TokenRequest
 from cinderway.wire import Message
 
 logger = logging.getLogger(__name__)
@@ -92,18 +92,18 @@
         for held in asked.lines:
             row = self._find_row(held.account)
             if row is None:
-                answer = TokenAnswer(0, UNKNOWN_ACCOUNT_RETRY_MS)
+                answer = TokenGrant(0, UNKNOWN_ACCOUNT_RETRY_MS)
             elif asked.replica:
-                answer = self._lend(row, asked.replica, held.ask, now_ms)
+                answer = self._lend(row, asked.replica, held.request, now_ms)
             else:
-                answer = self._grant_to_entry(row, holder, held.ask, now_ms)
+                answer = self._grant_to_entry(row, holder, held.request, now_ms)
             lines.append(
                 GrantedAllowance(held.account, answer.granted, answer.room_in_ms)
             )
         lease_ms = self.loan_ms if asked.replica else LEASE_MS
         return GrantAllowances(lines, lease_ms, self.rules.window_ms)
 
-    async def complete(
+    async def borrow_missing(
         self, holder: Hashable, asked: AskAllowances, first: GrantAllowances
     ) -> GrantAllowances:
         """Return an entry's answer, with borrowed tokens added if it got too few.
@@ -156,9 +156,9 @@
         while True:
             await anyio.sleep(BORROW_PERIOD_S)
             self.forget_idle(monotonic_ms())
-            await self.borrow_short()
+            await self.borrow_for_short_accounts()
 
-    async def borrow_short(self) -> None:
+    async def borrow_for_short_accounts(self) -> None:
         """Ask the other replicas for tokens of the accounts that run short here."""
         short = self._find_short_accounts(monotonic_ms())
         if short:
@@ -194,15 +194,15 @@
         return state.pool.charged(now_ms) if state is not None else 0
 
     def _grant_to_entry(
-        self, row: AccountRow, holder: Hashable, ask: TokenAsk, now_ms: int
-    ) -> TokenAnswer:
+        self, row: AccountRow, holder: Hashable, ask: TokenRequest, now_ms: int
+    ) -> TokenGrant:
         state = self._get_state(row.name)
         limit = self._share_of(row) + state.borrowed(now_ms)
         return state.pool.take(holder, ask, limit, now_ms, LEASE_MS)
 
     def _lend(
-        self, row: AccountRow, replica: Address, ask: TokenAsk, now_ms: int
-    ) -> TokenAnswer:
+        self, row: AccountRow, replica: Address, ask: TokenRequest, now_ms: int
+    ) -> TokenGrant:
         """Lend of the own share only: borrowed tokens expire before a new loan."""
         state = self._get_state(row.name)
         state.borrowers.add(replica)
--- a/src/cinderway/control/_catalog_http.py
+++ b/src/cinderway/control/_catalog_http.py
@@ -139,7 +139,7 @@
         body = await _read_body(receive, SHEET_LIMIT_BYTES)
         sheet = decode_sheet(body)
         held = self.service.machine.sheet
-        await self.service.commands.submit(InstallSheet.of(body))
+        await self.service.commands.submit(InstallSheet.from_body(body))
         logger.info(
             "sheet version %d acknowledged; previous version: %s",
             sheet.version,
@@ -167,7 +167,9 @@
     def _list_refusals(self) -> Answer:
         now_ms = monotonic_ms()
         held = self.service.hall.poison.tally.rulings(now_ms)
-        return Answer(OK, msgspec.json.encode([RefusalRow.of(r, now_ms) for r in held]))
+        return Answer(
+            OK, msgspec.json.encode([RefusalRow.from_ruling(r, now_ms) for r in held])
+        )
 
     def _list_servers(self) -> Answer:
         found = list(self.service.machine.registry.servers.values())
--- a/src/cinderway/control/_catalog_service.py
+++ b/src/cinderway/control/_catalog_service.py
@@ -167,7 +167,7 @@
         asked: AskAllowances,
         granted: GrantAllowances,
     ) -> None:
-        answer = await self.allowances.complete(connection, asked, granted)
+        answer = await self.allowances.borrow_missing(connection, asked, granted)
         try:
             await connection.send(answer, call_id)
         except CinderwayError as error:
@@ -197,7 +197,7 @@
                     self.hall.limits.receive_replica_limits(limits)
                     return Done()
                 case TakeRetry() as asked:
-                    return RetryAnswer(self.hall.take_retry(asked))
+                    return RetryAnswer(self.hall.grant_retry(asked))
         except CinderwayError as error:
             return failure_from(error, self.node.leader_address)
         raise AssertionError(f"no answer for {type(message).__name__}")
--- a/src/cinderway/control/_hall_service.py
+++ b/src/cinderway/control/_hall_service.py
@@ -92,7 +92,7 @@
             )
             self.news.receive_entry_suspects(suspects)
 
-    def take_retry(self, asked: TakeRetry) -> bool:
+    def grant_retry(self, asked: TakeRetry) -> bool:
         """Consume one retry of the shared budget; return False if none is left."""
         return self.retry_pools.acquire_retry(
             asked.service,
--- a/src/cinderway/control/_poison_news.py
+++ b/src/cinderway/control/_poison_news.py
@@ -142,6 +142,7 @@
 def _build_message(rulings: list[Ruling]) -> RequestRulings:
     now_ms = monotonic_ms()
     lines = [
-        RequestRuling.of(ruling, now_ms) for ruling in rulings[-MAX_LINES_PER_MESSAGE:]
+        RequestRuling.from_ruling(ruling, now_ms)
+        for ruling in rulings[-MAX_LINES_PER_MESSAGE:]
     ]
     return RequestRulings(lines)
--- a/src/cinderway/control/_retry_pools.py
+++ b/src/cinderway/control/_retry_pools.py
@@ -26,7 +26,7 @@
         self, service: ServiceName, requests: int, entries: int, now_ms: int
     ) -> None:
         """Credit first requests of a service to its pool."""
-        self._get_pool(service, entries, now_ms).earn(requests, now_ms)
+        self._get_pool(service, entries, now_ms).credit(requests, now_ms)
 
     def acquire_retry(
         self,
@@ -38,7 +38,7 @@
     ) -> bool:
         """Consume one retry; return False if none is left."""
         pool = self._get_pool(service, entries, now_ms)
-        return pool.take(now_ms, after_failure=after_failure)
+        return pool.consume(now_ms, after_failure=after_failure)
 
     def _get_pool(self, service: ServiceName, entries: int, now_ms: int) -> RetryPool:
         pool = self._pools.get(service)
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -54,7 +54,11 @@
     identity = Identity(settings.name, settings.shared_key)
     follower = CatalogFollower(settings, state, identity, metrics)
     attempts = Attempts(
-        dispatcher, metrics, ANSWER_LIMIT_BYTES, pays_for_sheds=True, budget=follower
+        dispatcher,
+        metrics,
+        ANSWER_LIMIT_BYTES,
+        consumes_budget_for_sheds=True,
+        budget=follower,
     )
     digests = RequestDigests(settings.shared_key)
     handler = RouteHandler(
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -99,7 +99,9 @@
         """Return the current rulings, for a replica that may not know them."""
         now_ms = monotonic_ms()
         held = self.tally.rulings(now_ms)[-REPORT_LIMIT:]
-        return RequestRulings([RequestRuling.of(ruling, now_ms) for ruling in held])
+        return RequestRulings(
+            [RequestRuling.from_ruling(ruling, now_ms) for ruling in held]
+        )
 
     def receive_runs(self, runs: RequestRuns) -> None:
         """Apply the runs that another entry reported."""
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -2,8 +2,9 @@
 
 A request that may have run is sent again only if it is repeatable. Hedges and retries
 consume a retry budget and are bounded by the request's server limit; retries after a
-shed are neither, unless `pays_for_sheds` is set. A server that could not be reached got
-nothing: another one is tried without using the budget, UNREACHABLE_LIMIT times at most.
+shed are neither, unless `consumes_budget_for_sheds` is set. A server that could not be
+reached got nothing: another one is tried without using the budget, UNREACHABLE_LIMIT
+times at most.
 Nothing is sent again for a caller that has disconnected.
 """
 
@@ -31,10 +32,10 @@
 class SpendableBudget(Protocol):
     """The budget that retries and hedges consume."""
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Credit the budget for an incoming request."""
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Consume one retry, after a failure or as a hedge of a slow attempt.
@@ -46,15 +47,15 @@
 class LocalRetryBudget:
     """The retry budget that each service has on this entry."""
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Credit the budget for an incoming request."""
-        service.budget.earn()
+        service.budget.credit()
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Consume one retry; False if none is left."""
-        return service.budget.spend()
+        return service.budget.consume()
 
 
 @dataclass
@@ -65,7 +66,7 @@
     metrics: Metrics
     answer_limit_bytes: int
     # Whether a retry after a server shed the request consumes the budget.
-    pays_for_sheds: bool = False
+    consumes_budget_for_sheds: bool = False
     budget: SpendableBudget = field(default_factory=LocalRetryBudget)
 
     async def fetch_answer(
@@ -77,7 +78,7 @@
         OutcomeError, whose outcome is NOT_RUN only if no server can have run the
         request.
         """
-        self.budget.earn(service)
+        self.budget.credit(service)
         history = _AttemptHistory(request)
         while True:
             history.rounds += 1
@@ -155,11 +156,11 @@
         until_ms = self._retry_until_ms(service, request)
 
         async def may_hedge() -> bool:
-            if not await self.budget.spend(
+            if not await self.budget.consume(
                 service, until_ms=until_ms, after_failure=False
             ):
                 return False
-            if not await request.permit.renew():
+            if not await request.permit.acquire_rerun():
                 return False
             self.metrics.count("hedges_total", {"service": service.row.name})
             return True
@@ -179,10 +180,10 @@
         """Decide whether to retry a failed attempt; consume the budget if so."""
         if isinstance(error, HeldBackError):
             # No server got it, and the wait for a slot that follows limits the rate.
-            return request.permit.holds and not request.caller_disconnected.is_set()
+            return request.permit.is_valid and not request.caller_disconnected.is_set()
         if error.step in (Step.QUEUE, Step.ROUTE):
             return False
-        if error.code is ErrorCode.BACKEND_SHED and not self.pays_for_sheds:
+        if error.code is ErrorCode.BACKEND_SHED and not self.consumes_budget_for_sheds:
             # It did not run, and the wait for a slot that follows limits the rate: a
             # retry adds no load.
             return True
@@ -200,9 +201,10 @@
     async def _acquire_rerun(
         self, service: ServiceState, request: CallerRequest
     ) -> bool:
-        """Consume a retry and renew the permit, for a request that may have run."""
+        """Consume a retry and acquire a rerun, for a request that may have run."""
         return (
-            await self.consume_retry(service, request) and await request.permit.renew()
+            await self.consume_retry(service, request)
+            and await request.permit.acquire_rerun()
         )
 
     async def consume_retry(
@@ -210,7 +212,7 @@
     ) -> bool:
         """Consume a retry from the service's budget; False if none is left."""
         until_ms = self._retry_until_ms(service, request)
-        if not await self.budget.spend(service, until_ms=until_ms):
+        if not await self.budget.consume(service, until_ms=until_ms):
             return False
         self.metrics.count("retries_total", {"service": service.row.name})
         return True
@@ -257,7 +259,7 @@
             or self.unreachable_count > UNREACHABLE_LIMIT
         ):
             return False
-        if not self.request.permit.holds:
+        if not self.request.permit.is_valid:
             return False
         reached = (
             max(self.rounds, len(self.request.tried_servers)) - self.unreachable_count
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -43,7 +43,7 @@
 from cinderway.entry.fleet._report_server import ReportServer
 from cinderway.entry.servers._slots import usable_servers
 from cinderway.ledger import Resolution
-from cinderway.limits import Refused
+from cinderway.limits import Rejected
 from cinderway.poison import RequestDigests
 from cinderway.routing import RouteMatch
 from cinderway.table import AnswerMode
@@ -160,7 +160,7 @@
         decision = service.admission.decide(
             service.row, caller, remaining_ms, usable_slots
         )
-        if isinstance(decision, Refused):
+        if isinstance(decision, Rejected):
             raise RefusedError(decision)
 
     async def _serve_by_kind(
--- a/src/cinderway/entry/callers/_outcomes.py
+++ b/src/cinderway/entry/callers/_outcomes.py
@@ -2,13 +2,13 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway.ledger import Resolution
-from cinderway.limits import Refused
+from cinderway.limits import Rejected
 
 
 class RefusedError(CinderwayError):
     """The request was not admitted; `retry_after_s` tells when to retry."""
 
-    def __init__(self, refused: Refused):
+    def __init__(self, refused: Rejected):
         super().__init__(refused.code, refused.detail, step=Step.QUEUE)
         self.retry_after_s = refused.retry_after_s
 
--- a/src/cinderway/entry/callers/_permits.py
+++ b/src/cinderway/entry/callers/_permits.py
@@ -49,7 +49,7 @@
         ):
             self.release()
         if account is not None and self._charged_account is None:
-            await self.allowances.take(account)
+            await self.allowances.consume(account)
             self._charged_account = account
 
     def refusal(self) -> CinderwayError | None:
@@ -70,13 +70,13 @@
             return False
         return known.account_name == self.identity.account_name
 
-    async def renew(self) -> bool:
+    async def acquire_rerun(self) -> bool:
         """Acquire another token to send the request again after it may have run."""
-        if not await super().renew():
+        if not await super().acquire_rerun():
             return False
         try:
             if self.identity.account is not None:
-                await self.allowances.take(self.identity.account)
+                await self.allowances.consume(self.identity.account)
         except AllowanceError:
             # Counted as a refusal; the caller gets the result of the first attempt.
             return False
@@ -86,4 +86,4 @@
         """Return the token of a request that no server got, if it holds one."""
         charged, self._charged_account = self._charged_account, None
         if charged is not None:
-            self.allowances.give_back(charged)
+            self.allowances.release(charged)
--- a/src/cinderway/entry/callers/_poison_permit.py
+++ b/src/cinderway/entry/callers/_poison_permit.py
@@ -56,9 +56,9 @@
         if refusal is not None:
             raise refusal
 
-    async def renew(self) -> bool:
+    async def acquire_rerun(self) -> bool:
         """Return whether the request can be sent again after it may have run."""
-        return self.holds and self.watch.can_be_repeated(self.digest)
+        return self.is_valid and self.watch.can_be_repeated(self.digest)
 
     def record_failed_run(self, server: ServerName, run_ms: int) -> None:
         """Record that a server's connection broke while it was running the request."""
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -33,7 +33,7 @@
         Raises OutcomeError if it fails before anything was relayed, and
         AnswerBrokenError after that.
         """
-        self.attempts.budget.earn(service)
+        self.attempts.budget.credit(service)
         transfer = _Transfer(service, request, reply)
         for attempt in range(ATTEMPT_LIMIT + 1):
             has_attempts = attempt < ATTEMPT_LIMIT
--- a/src/cinderway/entry/fleet/_allowances.py
+++ b/src/cinderway/entry/fleet/_allowances.py
@@ -20,7 +20,7 @@
     GrantAllowances,
     HeldAllowance,
 )
-from cinderway.limits import AllowanceLease, TokenAnswer
+from cinderway.limits import AllowanceLease, TokenGrant
 
 logger = logging.getLogger(__name__)
 
@@ -53,11 +53,11 @@
     _leases: dict[AccountName, AllowanceLease] = field(default_factory=dict)
     # For each account with a request to the replica in progress, the event that is set
     # when that request ends.
-    _pending_asks: dict[AccountName, anyio.Event] = field(default_factory=dict)
+    _pending_requests: dict[AccountName, anyio.Event] = field(default_factory=dict)
     _rows: dict[AccountName, AccountRow] = field(default_factory=dict)
     _has_leases: anyio.Event = field(default_factory=anyio.Event)
 
-    async def take(self, account: AccountRow) -> None:
+    async def consume(self, account: AccountRow) -> None:
         """Consume a token of an account; returns at once if it is not limited.
 
         Raises AllowanceError: ALLOWANCE_SPENT if the replica has no token left,
@@ -66,30 +66,30 @@
         if not account.is_limited:
             return
         lease = self._get_lease(account)
-        if lease.take(monotonic_ms()):
+        if lease.consume(monotonic_ms()):
             return
         lease.waiting += 1
         try:
             while monotonic_ms() >= lease.refused_until_ms:
                 if not await self._request_tokens(account.name):
                     raise self._refuse_unknown(account)
-                if lease.take(monotonic_ms()):
+                if lease.consume(monotonic_ms()):
                     return
         finally:
             lease.waiting -= 1
         raise self._refuse_spent(account, lease)
 
-    def give_back(self, account: AccountRow) -> None:
+    def release(self, account: AccountRow) -> None:
         """Return the token of a request that was never sent to a backend server."""
         lease = self._leases.get(account.name)
         if account.is_limited and lease is not None:
-            lease.give_back()
+            lease.release()
 
-    def start_anew(self) -> None:
+    def switch_replica(self) -> None:
         """Switch to another replica, which gets a report of recent use at once."""
         now_ms = monotonic_ms()
         for lease in self._leases.values():
-            lease.start_anew(now_ms)
+            lease.switch_replica(now_ms)
         self._has_leases.set()
 
     @property
@@ -112,14 +112,14 @@
         if known is not account and _get_limit(known) != _get_limit(account):
             # The limit changed: tokens granted under the old one, which may have been
             # higher, are no longer used.
-            lease.drop_held()
+            lease.drop_tokens()
         self._rows[account.name] = account
         self._has_leases.set()
         return lease
 
     async def _request_tokens(self, name: AccountName) -> bool:
         """Request tokens or await the pending request; False if unanswered."""
-        pending = self._pending_asks.get(name)
+        pending = self._pending_requests.get(name)
         if pending is None:
             return await self._sync_leases([name])
         with anyio.move_on_after(ANSWER_TIMEOUT_S) as waiting:
@@ -134,7 +134,7 @@
         return [
             name
             for name, lease in self._leases.items()
-            if name not in self._pending_asks and lease.is_due(now_ms)
+            if name not in self._pending_requests and lease.is_due(now_ms)
         ]
 
     async def _sync_leases(self, names: Iterable[AccountName]) -> bool:
@@ -143,17 +143,22 @@
         if not leases:
             return True
         done = anyio.Event()
-        self._pending_asks |= dict.fromkeys(leases, done)
+        self._pending_requests |= dict.fromkeys(leases, done)
         asked_at_ms = monotonic_ms()
-        asks = {name: lease.begin_ask(asked_at_ms) for name, lease in leases.items()}
+        asks = {
+            name: lease.begin_token_request(asked_at_ms)
+            for name, lease in leases.items()
+        }
         answer = None
         try:
-            lines = [HeldAllowance.of(name, ask) for name, ask in asks.items()]
+            lines = [
+                HeldAllowance.from_request(name, ask) for name, ask in asks.items()
+            ]
             answer = await self.ask(AskAllowances(lines), ANSWER_TIMEOUT_S)
         finally:
             self._apply_answer(leases, answer, asked_at_ms)
             for name in leases:
-                del self._pending_asks[name]
+                del self._pending_requests[name]
             done.set()
         return answer is not None
 
@@ -168,17 +173,17 @@
         for name, lease in leases.items():
             line = grants.get(name)
             if line is None:
-                lease.end_ask(None, now_ms)
+                lease.end_token_request(None, now_ms)
                 continue
             lease.window_ms = answer.window_ms
-            granted = TokenAnswer(line.granted, line.room_in_ms)
-            lease.end_ask(granted, now_ms, asked_at_ms + answer.lease_ms)
+            granted = TokenGrant(line.granted, line.room_in_ms)
+            lease.end_token_request(granted, now_ms, asked_at_ms + answer.lease_ms)
 
     def _refuse_spent(
         self, account: AccountRow, lease: AllowanceLease
     ) -> AllowanceError:
         self.refusals += 1
-        room_in_ms = max(lease.room_at_ms - monotonic_ms(), 0)
+        room_in_ms = max(lease.tokens_expected_at_ms - monotonic_ms(), 0)
         return AllowanceError(
             ErrorCode.ALLOWANCE_SPENT,
             f"account {account.name} is limited to {account.rate_per_s:g} requests a "
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -152,7 +152,9 @@
         rulings, self._unsent_rulings = self._unsent_rulings, []
         if not rulings:
             return
-        message = RequestRulings([RequestRuling.of(r, now_ms) for r in rulings])
+        message = RequestRulings(
+            [RequestRuling.from_ruling(r, now_ms) for r in rulings]
+        )
         for session in list(self._sessions):
             await self._send(session, message)
 
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -165,19 +165,19 @@
 
     # Retries.
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Credit the retry budget for a request that came in."""
         if self._connection is None:
-            service.budget.earn()
+            service.budget.credit()
         else:
             self._reports.first_requests[service.row.name] += 1
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Consume one retry from the budget; False if none is granted in time."""
         if self._connection is None:
-            return service.budget.spend()
+            return service.budget.consume()
         request = TakeRetry(service.row.name, after_failure)
         left_s = max(until_ms - monotonic_ms(), 0) / 1000
         answer = await self._requests.call(request, min(left_s, RETRY_TIMEOUT_S))
@@ -238,13 +238,13 @@
         # Retries credited to the local budget must not be spent on top of the shared
         # budget later.
         for service in self.state.board.services.values():
-            service.budget.empty()
+            service.budget.clear()
         self._received_at_ms = monotonic_ms()
         self._sent_times = HeartbeatSendTimes()
         self._connection = connection
         self._is_disconnected = anyio.Event()
         self._requests.connect(connection)
-        self.allowances.start_anew()
+        self.allowances.switch_replica()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reports.send_evidence, connection)
             tasks.start_soon(self._reports.send_ended_runs, connection)
--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -112,7 +112,7 @@
         if event == SENDING_STARTED_EVENT:
             self.has_started_sending = True
 
-    async def give_back(self, response: httpcore.Response | None) -> None:
+    async def release(self, response: httpcore.Response | None) -> None:
         # A connection whose response was not read to the end may still deliver the
         # rest of it. If reused, it would give one caller another caller's response.
         if response is not None and self.is_reusable:
@@ -158,7 +158,7 @@
             connection = await self._connect(address)
         reason = objection()
         if reason is not None:
-            await connection.give_back(None)
+            await connection.release(None)
             raise reason
         connection.is_reusable = False
         connection.has_started_sending = False
@@ -175,14 +175,14 @@
             raise _build_attempt_error(connection, address, error) from error
         finally:
             if response is None:
-                await connection.give_back(None)
+                await connection.release(None)
         headers = [(name, value) for name, value in response.headers]
         answer = BackendAnswer(
             response.status, headers, response, connection, self.names
         )
         reason = answer.describe_mismatch(attempt_id)
         if reason:
-            await connection.give_back(None)
+            await connection.release(None)
             raise CinderwayError(
                 ErrorCode.ANSWER_FOREIGN, reason, step=Step.AWAIT_ANSWER, peer=address
             )
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -214,7 +214,7 @@
             ) from error
         except CinderwayError as error:
             if error.step in (Step.QUEUE, Step.CONNECT):
-                outgoing.token.give_back()
+                outgoing.token.release()
             if error.step is Step.QUEUE:
                 # Nothing was written, for a reason that is not the server's fault.
                 self.notes.record_held_back(outgoing, error)
--- a/src/cinderway/entry/servers/_messages.py
+++ b/src/cinderway/entry/servers/_messages.py
@@ -73,7 +73,7 @@
     is_reusable: bool
     idle_limit_ms: int
 
-    async def give_back(self, response: httpcore.Response | None) -> None:
+    async def release(self, response: httpcore.Response | None) -> None:
         """Return it to the pool for reuse, or close it."""
 
 
@@ -154,4 +154,4 @@
 
     async def aclose(self) -> None:
         """Give the connection back if the body was read whole, else close it."""
-        await self._connection.give_back(self._response)
+        await self._connection.release(self._response)
--- a/src/cinderway/entry/servers/_permit.py
+++ b/src/cinderway/entry/servers/_permit.py
@@ -11,7 +11,7 @@
     """
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the request may still be sent."""
         return self.refusal() is None
 
@@ -23,7 +23,7 @@
         """
         return None
 
-    async def renew(self) -> bool:
+    async def acquire_rerun(self) -> bool:
         """Pay for resending a request that may have run; return False if refused."""
         return True
 
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -86,7 +86,7 @@
             answer.status, answer.headers, _ModelBody(size), connection
         )
 
-    def give_back(self, address: Address) -> None:
+    def release(self, address: Address) -> None:
         """Keep a connection for the next request."""
         self._idle[address] = min(self._idle[address] + 1, self.idle_limit)
 
@@ -190,6 +190,6 @@
     is_reusable: bool = False
     idle_limit_ms: int = 0
 
-    async def give_back(self, response: object) -> None:
+    async def release(self, response: object) -> None:
         if self.is_reusable:
-            self.pool.give_back(self.address)
+            self.pool.release(self.address)
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -70,7 +70,11 @@
         )
         dispatcher = Dispatcher(board, self.connections, evidence)
         attempts = Attempts(
-            dispatcher, Metrics(), ANSWER_LIMIT_BYTES, pays_for_sheds=True, budget=self
+            dispatcher,
+            Metrics(),
+            ANSWER_LIMIT_BYTES,
+            consumes_budget_for_sheds=True,
+            budget=self,
         )
         self.handler = RouteHandler(
             self.state, attempts, OWN_NAMES, Metrics(), Allowances(self._ask_allowances)
@@ -130,16 +134,16 @@
     async def aclose(self) -> None:
         """Close nothing: the model's link does not break."""
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Note a request that came in."""
         self._reports.first_requests[service.row.name] += 1
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Take one retry from the shared budget; False if there is none left."""
         await anyio.sleep(2 * self._way_ms / 1000)
-        return self.hall.service.take_retry(TakeRetry(service.row.name, after_failure))
+        return self.hall.service.grant_retry(TakeRetry(service.row.name, after_failure))
 
     async def _ask_allowances(self, asked: AskAllowances, timeout_s: float) -> None:
         """Answer nothing: the model has no accounts."""
--- a/src/cinderway/experiment/_halls.py
+++ b/src/cinderway/experiment/_halls.py
@@ -40,7 +40,7 @@
 def catalog_of(experiment: Experiment, servers: list[ModelServer]) -> CatalogMachine:
     """Return a catalog with the experiment's routes, servers and replicas."""
     machine = CatalogMachine()
-    commands = [InstallSheet.of(msgspec.json.encode(_sheet_of(experiment)))]
+    commands = [InstallSheet.from_body(msgspec.json.encode(_sheet_of(experiment)))]
     commands += [Register(_registered(server)) for server in servers]
     commands += [replica_of(hall) for hall in experiment.halls]
     for index, command in enumerate(commands, 1):
--- a/src/cinderway/judgement/_evidence.py
+++ b/src/cinderway/judgement/_evidence.py
@@ -110,7 +110,10 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """A request in flight; the wait for the current piece began at `piece_started_at_ms`."""
+    """A request in flight.
+
+    The wait for its current piece began at `piece_started_at_ms`.
+    """
 
     service: ServiceName
     server: ServerName
--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -3,13 +3,13 @@
 An allowance is the share of a client account's rate limit that one entry may use.
 """
 
-from cinderway.limits._admission import Admission, Admitted, Refused
+from cinderway.limits._admission import Admission, Admitted, Rejected
 from cinderway.limits._allowance_lease import AllowanceLease
 from cinderway.limits._allowance_pool import (
     AllowancePool,
     AllowanceRules,
-    TokenAnswer,
-    TokenAsk,
+    TokenGrant,
+    TokenRequest,
 )
 from cinderway.limits._connect_limit import ConnectLimit
 from cinderway.limits._connections import ConnectionPlan, plan_connections
@@ -25,11 +25,11 @@
     "AllowanceRules",
     "ConnectLimit",
     "ConnectionPlan",
-    "Refused",
+    "Rejected",
     "RetryBudget",
     "RetryPool",
-    "TokenAnswer",
-    "TokenAsk",
+    "TokenGrant",
+    "TokenRequest",
     "expected_answer_ms",
     "is_hopeless",
     "plan_connections",
--- a/src/cinderway/limits/_admission.py
+++ b/src/cinderway/limits/_admission.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Refused:
+class Rejected:
     """The request is rejected; the caller may retry after `retry_after_s`."""
 
     code: ErrorCode
@@ -54,27 +54,27 @@
         caller: CallerName,
         remaining_ms: int,
         usable_slots: float,
-    ) -> Admitted | Refused:
+    ) -> Admitted | Rejected:
         """Admit or reject a request that has `remaining_ms` until its deadline.
 
         `usable_slots` is how many requests this entry can expect to run concurrently.
         """
         wait_ms = self.expected_wait_ms(usable_slots)
         if self._count_by_caller[caller] >= service.caller_limit:
-            return Refused(
+            return Rejected(
                 ErrorCode.CALLER_LIMIT,
                 f"caller {caller} already has {service.caller_limit} active requests "
                 "on this entry",
                 _retry_after_s(self.service_time_ms),
             )
         if self.waiting >= service.queue_limit and self.waiting > 0:
-            return Refused(
+            return Rejected(
                 ErrorCode.QUEUE_FULL,
                 f"queue of {service.name} is full: {self.waiting} requests are waiting",
                 _retry_after_s(wait_ms),
             )
         if wait_ms + self.service_time_ms > remaining_ms:
-            return Refused(
+            return Rejected(
                 ErrorCode.DEADLINE_PASSED,
                 f"expected latency of {wait_ms + self.service_time_ms:.0f} ms exceeds "
                 f"the {remaining_ms} ms left until the deadline",
--- a/src/cinderway/limits/_allowance_lease.py
+++ b/src/cinderway/limits/_allowance_lease.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from cinderway.limits._allowance_pool import TokenAnswer, TokenAsk
+from cinderway.limits._allowance_pool import TokenGrant, TokenRequest
 
 # An entry tries to hold as many tokens as the account used on it in this period. They
 # bridge a loss of the connection to control.
@@ -30,13 +30,13 @@
     waiting: int = 0
     refused_until_ms: int = 0
     # When the replica that refused tokens expects some to come free.
-    room_at_ms: int = 0
+    tokens_expected_at_ms: int = 0
     _unreported_uses: int = 0
     _used_at_ms: deque[int] = field(default_factory=deque)
     # The request for tokens that is in flight, if any.
-    _pending_ask: TokenAsk | None = None
+    _pending_request: TokenRequest | None = None
 
-    def take(self, now_ms: int) -> bool:
+    def consume(self, now_ms: int) -> bool:
         """Consume one token; return False if there is none."""
         self._expire(now_ms)
         if not self.held:
@@ -47,19 +47,20 @@
         self._drop_old_uses(now_ms)
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return the token of a request that was never sent.
 
         Does nothing if the use may already have been reported to the replica.
         """
-        if self._pending_ask is None and self._unreported_uses:
+        if self._pending_request is None and self._unreported_uses:
             self._unreported_uses -= 1
             self.held += 1
 
-    def begin_ask(self, now_ms: int) -> TokenAsk:
+    def begin_token_request(self, now_ms: int) -> TokenRequest:
         """Return the request for tokens to send to the replica.
 
-        The caller must report its answer, or that there was none, with `end_ask`.
+        The caller must report its answer, or that there was none, with
+        `end_token_request`.
         """
         self._expire(now_ms)
         recent_uses = self._count_recent_uses(now_ms)
@@ -67,37 +68,39 @@
             # No recent use here: release the remaining tokens to other entries.
             self.held = 0
         wanted = max(recent_uses - self.held, 0) + self.waiting
-        ask = TokenAsk(self._unreported_uses, self.held, self.waiting, wanted)
-        self._pending_ask = ask
-        return ask
+        request = TokenRequest(self._unreported_uses, self.held, self.waiting, wanted)
+        self._pending_request = request
+        return request
 
-    def end_ask(
-        self, answer: TokenAnswer | None, now_ms: int, until_ms: int = 0
+    def end_token_request(
+        self, answer: TokenGrant | None, now_ms: int, until_ms: int = 0
     ) -> None:
         """Apply the replica's answer; None means that no answer arrived."""
-        ask, self._pending_ask = self._pending_ask, None
-        if answer is None or ask is None:
+        request, self._pending_request = self._pending_request, None
+        if answer is None or request is None:
             return
-        self._unreported_uses -= ask.used
+        self._unreported_uses -= request.used
         self.held += answer.granted
         self.until_ms = until_ms
-        if answer.granted < ask.needed:
-            self.room_at_ms = now_ms + answer.room_in_ms
-            self.refused_until_ms = min(self.room_at_ms, now_ms + MAXIMUM_REFUSAL_MS)
+        if answer.granted < request.needed:
+            self.tokens_expected_at_ms = now_ms + answer.room_in_ms
+            self.refused_until_ms = min(
+                self.tokens_expected_at_ms, now_ms + MAXIMUM_REFUSAL_MS
+            )
 
-    def start_anew(self, now_ms: int) -> None:
+    def switch_replica(self, now_ms: int) -> None:
         """Switch to another replica and report all uses of the window to it again.
 
         Tokens from the previous replica are dropped, as the new one does not know that
         they were granted.
         """
         self.held = 0
-        self._pending_ask = None
+        self._pending_request = None
         self._drop_old_uses(now_ms)
         self._unreported_uses = len(self._used_at_ms)
         self.refused_until_ms = 0
 
-    def drop_held(self) -> None:
+    def drop_tokens(self) -> None:
         """Drop all tokens because the account's limit has changed."""
         self.held = 0
         self.refused_until_ms = 0
@@ -116,7 +119,7 @@
             self.held
             or self._unreported_uses
             or self.waiting
-            or self._pending_ask is not None
+            or self._pending_request is not None
         ):
             return False
         self._drop_old_uses(now_ms)
--- a/src/cinderway/limits/_allowance_pool.py
+++ b/src/cinderway/limits/_allowance_pool.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class TokenAsk:
+class TokenRequest:
     """A holder's report of its tokens and its request for more.
 
     `used` counts the tokens used since its last report, `held` those it still has.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class TokenAnswer:
+class TokenGrant:
     """The number of tokens granted; if too few, the time until some may come free."""
 
     granted: int
@@ -84,18 +84,23 @@
     _leased_count: int = 0
 
     def take(
-        self, holder: Hashable, ask: TokenAsk, limit: float, now_ms: int, lease_ms: int
-    ) -> TokenAnswer:
+        self,
+        holder: Hashable,
+        request: TokenRequest,
+        limit: float,
+        now_ms: int,
+        lease_ms: int,
+    ) -> TokenGrant:
         """Apply a holder's report and grant the tokens that fit under the limit."""
         self._expire(now_ms)
         self._remove_lease(holder)
-        self._record_used(ask.used, now_ms)
-        free = int(max(limit - self._charged_count - ask.held, 0))
-        granted = _compute_grant(free, ask, limit)
-        self._add_lease(holder, ask.held + granted, now_ms + lease_ms)
-        if granted >= ask.needed:
-            return TokenAnswer(granted)
-        return TokenAnswer(granted, self._compute_room_in_ms(now_ms))
+        self._record_used(request.used, now_ms)
+        free = int(max(limit - self._charged_count - request.held, 0))
+        granted = _compute_grant(free, request, limit)
+        self._add_lease(holder, request.held + granted, now_ms + lease_ms)
+        if granted >= request.needed:
+            return TokenGrant(granted)
+        return TokenGrant(granted, self._compute_room_in_ms(now_ms))
 
     def add(
         self, holder: Hashable, needed: int, limit: float, now_ms: int, lease_ms: int
@@ -103,7 +108,7 @@
         """Grant more tokens to a holder that has just asked; return how many."""
         self._expire(now_ms)
         granted = min(int(max(limit - self._charged_count, 0)), needed)
-        tokens = self.held_by(holder, now_ms) + granted
+        tokens = self.get_held_tokens(holder, now_ms) + granted
         self._remove_lease(holder)
         self._add_lease(holder, tokens, now_ms + lease_ms)
         return granted
@@ -113,7 +118,7 @@
         self._expire(now_ms)
         return self._charged_count
 
-    def held_by(self, holder: Hashable, now_ms: int) -> int:
+    def get_held_tokens(self, holder: Hashable, now_ms: int) -> int:
         """Return the number of tokens in a holder's lease."""
         self._expire(now_ms)
         lease = self._leases.get(holder)
@@ -157,9 +162,9 @@
         return max(min(ends_ms) + self.window_ms - now_ms, 1)
 
 
-def _compute_grant(free: int, ask: TokenAsk, limit: float) -> int:
+def _compute_grant(free: int, request: TokenRequest, limit: float) -> int:
     """Return how many free tokens to grant: the immediate need, then a reserve."""
-    needed = min(ask.needed, free)
+    needed = min(request.needed, free)
     reservable = max(free - needed - limit * UNRESERVED_SHARE, 0)
     reserve = int(reservable * RESERVE_GRANT_SHARE)
-    return needed + min(max(ask.wanted - ask.needed, 0), reserve)
+    return needed + min(max(request.wanted - request.needed, 0), reserve)
--- a/src/cinderway/limits/_retry_budget.py
+++ b/src/cinderway/limits/_retry_budget.py
@@ -23,15 +23,15 @@
         self.maximum = maximum
         self._tokens = min(initial, maximum) if percent else 0.0
 
-    def earn(self) -> None:
+    def credit(self) -> None:
         """Add the share of a retry that a first attempt earns."""
         self._tokens = min(self._tokens + self.percent / 100, self.maximum)
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         """Discard all tokens: from now on another budget pays for the retries."""
         self._tokens = 0.0
 
-    def spend(self) -> bool:
+    def consume(self) -> bool:
         """Consume the token for one retry; return False if there is none."""
         if self._tokens < 1:
             return False
--- a/src/cinderway/limits/_retry_pool.py
+++ b/src/cinderway/limits/_retry_pool.py
@@ -38,7 +38,7 @@
     _hedge_granted_at_ms: deque[int] = field(default_factory=deque)
     _failure_requested_at_ms: deque[int] = field(default_factory=deque)
 
-    def earn(self, requests: int, now_ms: int) -> None:
+    def credit(self, requests: int, now_ms: int) -> None:
         """Record first requests, which add to the budget."""
         self._request_count += requests
         if self._requests and now_ms - self._requests[-1][0] < BATCH_MS:
@@ -48,7 +48,7 @@
             self._requests.append((now_ms, requests))
         self._drop_expired(now_ms)
 
-    def take(self, now_ms: int, *, after_failure: bool = True) -> bool:
+    def consume(self, now_ms: int, *, after_failure: bool = True) -> bool:
         """Consume one retry; return False if the budget has none.
 
         `after_failure` is False for a hedge.
--- a/src/cinderway/poison/_messages.py
+++ b/src/cinderway/poison/_messages.py
@@ -35,7 +35,7 @@
     refusals: int
 
     @classmethod
-    def of(cls, ruling: Ruling, now_ms: int) -> "RequestRuling":
+    def from_ruling(cls, ruling: Ruling, now_ms: int) -> "RequestRuling":
         """Return the row that carries a ruling to another process."""
         return cls(
             ruling.digest,
--- a/src/cinderway/pushback/_book.py
+++ b/src/cinderway/pushback/_book.py
@@ -117,10 +117,10 @@
         self._acquired_from = self._pushback.turns
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return the token to the bucket, because nothing was sent."""
         if self._acquired_from is not None:
-            self._acquired_from.give_back()
+            self._acquired_from.release()
             self._acquired_from = None
 
 
--- a/src/cinderway/pushback/_turns.py
+++ b/src/cinderway/pushback/_turns.py
@@ -56,7 +56,7 @@
         self._last_ms = now_ms
         return True
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Return the last token, because nothing was sent."""
         if self.share_per_s:
             self._last_ms -= math.ceil(self.token_interval_ms)
--- a/tests/catalog/test_machine.py
+++ b/tests/catalog/test_machine.py
@@ -59,7 +59,7 @@
     ),
     st.builds(lambda n: Deregister(ServerName(f"i-{n}")), st.integers(1, 5)),
     st.builds(lambda v: InstallSheet(body(v)), st.integers(1, 9)),
-    st.builds(lambda v: InstallSheet.of(body(v)), st.integers(1, 9)),
+    st.builds(lambda v: InstallSheet.from_body(body(v)), st.integers(1, 9)),
 )
 
 
@@ -202,7 +202,7 @@
 class PackedSheetTests(unittest.TestCase):
     def test_the_sheet_reads_back_as_the_operator_sent_it(self):
         catalog = Catalog()
-        catalog.apply(InstallSheet.of(body(3)))
+        catalog.apply(InstallSheet.from_body(body(3)))
         self.assertEqual(catalog.machine.sheet_body, body(3))
 
     def test_a_sheet_of_many_routes_compresses_to_less_than_half(self):
--- a/tests/control/test_allowances.py
+++ b/tests/control/test_allowances.py
@@ -18,7 +18,7 @@
 from cinderway.control import _allowances
 from cinderway.control._account_tokens import Standing
 from cinderway.control._allowances import LEASE_MS, Allowances
-from cinderway.limits import AllowanceLease, AllowanceRules, TokenAnswer
+from cinderway.limits import AllowanceLease, AllowanceRules, TokenGrant
 
 WINDOW_MS = 5_000
 ROW = AccountRow(name="acme", rate_per_s=8, burst=20)
@@ -119,7 +119,7 @@
         asked = ask(needed=28, wanted=28)
         first = group["r0"].grant("e", asked, 0)
         self.assertEqual(first.lines[0].granted, 20)
-        whole = anyio.run(group["r0"].complete, "e", asked, first)
+        whole = anyio.run(group["r0"].borrow_missing, "e", asked, first)
         self.assertEqual(whole.lines[0].granted, 28)
 
     def test_a_replica_that_does_not_answer_is_not_waited_for_again_at_once(self):
@@ -128,7 +128,7 @@
         for holder in ("e", "f"):
             asked = ask(needed=31, wanted=31)
             first = group["r0"].grant(holder, asked, 0)
-            anyio.run(group["r0"].complete, holder, asked, first)
+            anyio.run(group["r0"].borrow_missing, holder, asked, first)
         self.assertEqual(group.calls.refused, 1)
 
     def test_concurrent_loans_are_all_counted_by_the_lender(self):
@@ -141,7 +141,7 @@
                 for holder, needed in (("e", 36), ("f", 5)):
                     asked = ask(needed=needed)
                     first = replica.grant(holder, asked, 0)
-                    tasks.start_soon(replica.complete, holder, asked, first)
+                    tasks.start_soon(replica.borrow_missing, holder, asked, first)
 
         with patch.object(_allowances, "monotonic_ms", lambda: group.now_ms):
             anyio.run(scenario)
@@ -153,7 +153,7 @@
         group = ModelGroup(2)
         group["r0"].grant("e", ask(needed=30, wanted=30), 0)
         first = group["r0"].grant("f", ask(needed=25), 0)
-        anyio.run(group["r0"].complete, "f", ask(needed=25), first)
+        anyio.run(group["r0"].borrow_missing, "f", ask(needed=25), first)
         self.assertEqual(group["r1"].charged("acme", 0), 25)
         anyio.run(group.borrow, "r1")
         self.assertEqual(group["r1"].uses(0)[0].borrowed, 0)
@@ -188,18 +188,20 @@
 
     def use(self, entry, count):
         for _ in range(count):
-            if self.leases[entry].take(self.group.now_ms):
+            if self.leases[entry].consume(self.group.now_ms):
                 self.used_at_ms.append(self.group.now_ms)
 
     def report(self, entry, waiting):
         lease, now_ms = self.leases[entry], self.group.now_ms
         lease.waiting = waiting
-        asked = AskAllowances([HeldAllowance.of("acme", lease.begin_ask(now_ms))])
+        asked = AskAllowances(
+            [HeldAllowance.from_request("acme", lease.begin_token_request(now_ms))]
+        )
         replica = self.group[self.group.addresses[entry]]
         answer = replica.grant(entry, asked, now_ms)
         line = answer.lines[0]
-        granted = TokenAnswer(line.granted, line.room_in_ms)
-        lease.end_ask(granted, now_ms, now_ms + answer.lease_ms)
+        granted = TokenGrant(line.granted, line.room_in_ms)
+        lease.end_token_request(granted, now_ms, now_ms + answer.lease_ms)
 
     def borrow(self, entry):
         anyio.run(self.group.borrow, self.group.addresses[entry])
--- a/tests/entry/callers/test_attempts.py
+++ b/tests/entry/callers/test_attempts.py
@@ -49,10 +49,10 @@
     def __init__(self):
         self.asked = 0
 
-    def earn(self, service):
+    def credit(self, service):
         pass
 
-    async def spend(self, service, *, until_ms, after_failure=True):
+    async def consume(self, service, *, until_ms, after_failure=True):
         self.asked += 1
         return False
 
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -208,7 +208,7 @@
         (status,), _ = self.poisoned(ended=ENDS_TO_REFUSE - 1)
         self.assertEqual(status, 200)
         (request,) = self.attempts.requests
-        self.assertFalse(anyio.run(request.permit.renew))
+        self.assertFalse(anyio.run(request.permit.acquire_rerun))
 
     def test_a_request_that_differs_is_served(self):
         self.poisoned(ended=ENDS_TO_REFUSE)
@@ -220,10 +220,10 @@
         self.install(1)
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests[0].permit
-        self.assertTrue(permit.holds)
+        self.assertTrue(permit.is_valid)
         for number in range(ENDS_TO_REFUSE):
             permit.record_failed_run(f"i-{number}", 90)
-        self.assertFalse(permit.holds)
+        self.assertFalse(permit.is_valid)
         self.assertIs(permit.refusal().step, Step.QUEUE)
 
     def test_a_request_that_arrives_before_the_sheet_waits_for_it(self):
@@ -314,7 +314,7 @@
             )
             self.assertEqual(anyio.run(self.serve, caller), [status])
             # Lets the next request ask for a token at once.
-            self.handler.allowances.start_anew()
+            self.handler.allowances.switch_replica()
         self.assertEqual(self.attempts.services, [])
 
     def test_a_refusal_tells_when_a_token_may_be_available(self):
--- a/tests/entry/fleet/test_assessor_server.py
+++ b/tests/entry/fleet/test_assessor_server.py
@@ -69,7 +69,7 @@
     def test_what_an_entry_knows_already_is_passed_on(self):
         tally = PoisonTally()
         rulings = [tally.record_end(D, server, 0) for server in ("a", "b", "c")]
-        known = RequestRulings([RequestRuling.of(rulings[-1], 0)])
+        known = RequestRulings([RequestRuling.from_ruling(rulings[-1], 0)])
         entries = [StubEntry(known), StubEntry()]
         self.serve_until(*entries, until=1)
         self.assertEqual(entries[1].standings, [Standing.REFUSED])
--- a/tests/entry/fleet/test_catalog_follower.py
+++ b/tests/entry/fleet/test_catalog_follower.py
@@ -105,9 +105,9 @@
                 HERE, STALE_MS, 10_000 + LEADERLESS_AVOID_MS
             )
 
-    def spend(self, service):
+    def consume(self, service):
         until_ms = monotonic_ms() + 60_000
-        return anyio.run(lambda: self.follower.spend(service, until_ms=until_ms))
+        return anyio.run(lambda: self.follower.consume(service, until_ms=until_ms))
 
     def test_the_local_retry_budget_is_emptied_when_a_replica_is_followed(self):
         row = ServiceRow(name=ServiceName("lookup"))
@@ -115,9 +115,9 @@
         self.state.board.services[row.name] = service
         with self.assertRaises(CinderwayError):
             anyio.run(self.follower._follow, SilentReplica(), HERE)
-        self.assertFalse(self.spend(service))
-        self.follower.earn(service)
-        self.assertTrue(self.spend(service))
+        self.assertFalse(self.consume(service))
+        self.follower.credit(service)
+        self.assertTrue(self.consume(service))
 
     def retry_granted_after(self, answer_ms, for_ms):
         """Return whether a retry is granted by a replica that answers late."""
@@ -128,7 +128,7 @@
             self.follower._connection = replica
             self.follower._requests.connect(replica)
             until_ms = monotonic_ms() + for_ms
-            return await self.follower.spend(service, until_ms=until_ms)
+            return await self.follower.consume(service, until_ms=until_ms)
 
         return run_in_virtual_time(ask)
 
--- a/tests/entry/fleet/test_lost_replica.py
+++ b/tests/entry/fleet/test_lost_replica.py
@@ -44,7 +44,7 @@
 
 def sheet(version):
     content = {"version": version, "routes": [], "services": []}
-    return InstallSheet.of(json.dumps(content).encode())
+    return InstallSheet.from_body(json.dumps(content).encode())
 
 
 def entry_settings(seeds):
--- a/tests/entry/servers/_model_servers.py
+++ b/tests/entry/servers/_model_servers.py
@@ -51,7 +51,7 @@
     is_reusable: bool = False
     idle_limit_ms: int = 0
 
-    async def give_back(self, response: object) -> None:
+    async def release(self, response: object) -> None:
         """Do nothing: there is no pool."""
 
 
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -110,7 +110,7 @@
             await anyio.sleep(2)
             rate_bucket = world.get_pushback().turns
             rate_bucket.take(monotonic_ms())
-            rate_bucket.give_back()
+            rate_bucket.release()
             return rate_bucket.take(monotonic_ms())
 
         self.assertTrue(run_in_virtual_time(play))
--- a/tests/entry/test_poison_watch.py
+++ b/tests/entry/test_poison_watch.py
@@ -23,7 +23,7 @@
     """Return a replica's ruling on a request during which three servers ended."""
     tally = PoisonTally()
     rulings = [tally.record_end(digest, server, at_ms) for server in SERVERS]
-    return RequestRuling.of(rulings[-1], at_ms)
+    return RequestRuling.from_ruling(rulings[-1], at_ms)
 
 
 def rulings_of(*lines):
--- a/tests/limits/test_allowances.py
+++ b/tests/limits/test_allowances.py
@@ -6,8 +6,8 @@
     AllowanceLease,
     AllowancePool,
     AllowanceRules,
-    TokenAnswer,
-    TokenAsk,
+    TokenGrant,
+    TokenRequest,
 )
 
 WINDOW_MS = 5_000
@@ -26,7 +26,7 @@
         self.pool = AllowancePool(WINDOW_MS)
 
     def take(self, holder, limit=10, now_ms=0, **ask):
-        return self.pool.take(holder, TokenAsk(**ask), limit, now_ms, LEASE_MS)
+        return self.pool.take(holder, TokenRequest(**ask), limit, now_ms, LEASE_MS)
 
     def test_immediate_needs_are_granted_up_to_the_limit(self):
         self.assertEqual(self.take("a", needed=7).granted, 7)
@@ -73,65 +73,65 @@
         self.lease = AllowanceLease(window_ms=WINDOW_MS)
 
     def grant(self, count, now_ms=0):
-        ask = self.lease.begin_ask(now_ms)
-        self.lease.end_ask(TokenAnswer(count), now_ms, now_ms + LEASE_MS)
+        ask = self.lease.begin_token_request(now_ms)
+        self.lease.end_token_request(TokenGrant(count), now_ms, now_ms + LEASE_MS)
         return ask
 
     def test_a_token_is_used_once_and_reported_once(self):
         self.grant(1)
-        self.assertTrue(self.lease.take(1))
-        self.assertFalse(self.lease.take(2))
+        self.assertTrue(self.lease.consume(1))
+        self.assertFalse(self.lease.consume(2))
         self.assertEqual(self.grant(0, now_ms=3).used, 1)
         self.assertEqual(self.grant(0, now_ms=4).used, 0)
 
     def test_a_use_is_reported_again_if_the_report_was_lost(self):
         self.grant(1)
-        self.lease.take(1)
-        self.lease.begin_ask(2)
-        self.lease.end_ask(None, 3)
-        self.assertEqual(self.lease.begin_ask(4).used, 1)
+        self.lease.consume(1)
+        self.lease.begin_token_request(2)
+        self.lease.end_token_request(None, 3)
+        self.assertEqual(self.lease.begin_token_request(4).used, 1)
 
     def test_a_token_expires_with_its_lease(self):
         self.grant(1)
-        self.assertFalse(self.lease.take(LEASE_MS))
+        self.assertFalse(self.lease.consume(LEASE_MS))
 
     def test_it_requests_as_many_tokens_as_were_recently_used(self):
         self.grant(6)
         for at_ms in range(4):
-            self.lease.take(at_ms)
-        self.assertEqual(self.lease.begin_ask(10).wanted, 2)
+            self.lease.consume(at_ms)
+        self.assertEqual(self.lease.begin_token_request(10).wanted, 2)
 
     def test_tokens_of_an_inactive_account_are_released(self):
         self.grant(2)
-        self.lease.take(0)
-        self.assertEqual(self.lease.begin_ask(4_500).held, 1)
-        self.lease.end_ask(None, 4_500)
+        self.lease.consume(0)
+        self.assertEqual(self.lease.begin_token_request(4_500).held, 1)
+        self.lease.end_token_request(None, 4_500)
         self.assertTrue(self.lease.is_due(5_500))
-        self.assertEqual(self.lease.begin_ask(5_500).held, 0)
+        self.assertEqual(self.lease.begin_token_request(5_500).held, 0)
 
     def test_the_token_of_a_request_that_was_never_sent_is_returned(self):
         self.grant(1)
-        self.lease.take(1)
-        self.lease.give_back()
-        self.assertEqual(self.lease.begin_ask(2).used, 0)
-        self.lease.end_ask(TokenAnswer(0), 2, 2 + LEASE_MS)
-        self.assertTrue(self.lease.take(3))
+        self.lease.consume(1)
+        self.lease.release()
+        self.assertEqual(self.lease.begin_token_request(2).used, 0)
+        self.lease.end_token_request(TokenGrant(0), 2, 2 + LEASE_MS)
+        self.assertTrue(self.lease.consume(3))
 
     def test_a_reported_use_is_not_returned(self):
         self.grant(1)
-        self.lease.take(1)
-        self.lease.begin_ask(2)
-        self.lease.give_back()
-        self.lease.end_ask(TokenAnswer(0), 3, 3 + LEASE_MS)
-        self.assertFalse(self.lease.take(4))
+        self.lease.consume(1)
+        self.lease.begin_token_request(2)
+        self.lease.release()
+        self.lease.end_token_request(TokenGrant(0), 3, 3 + LEASE_MS)
+        self.assertFalse(self.lease.consume(4))
 
     def test_a_new_replica_gets_the_windows_uses_and_held_tokens_are_dropped(self):
         self.grant(5)
-        self.lease.take(0)
-        self.lease.take(1_000)
+        self.lease.consume(0)
+        self.lease.consume(1_000)
         self.grant(0, now_ms=1_500)
-        self.lease.start_anew(now_ms=5_500)
-        ask = self.lease.begin_ask(5_500)
+        self.lease.switch_replica(now_ms=5_500)
+        ask = self.lease.begin_token_request(5_500)
         self.assertEqual((ask.used, ask.held), (1, 0))
 
 
@@ -148,13 +148,13 @@
         self.used_at_ms = []
 
     def use(self, entry):
-        if self.leases[entry].take(self.now_ms):
+        if self.leases[entry].consume(self.now_ms):
             self.used_at_ms.append(self.now_ms)
 
     def begin(self, entry, waiting):
         if self.asks[entry] is None:
             self.leases[entry].waiting = waiting
-            ask = self.leases[entry].begin_ask(self.now_ms)
+            ask = self.leases[entry].begin_token_request(self.now_ms)
             self.asks[entry] = (ask, self.now_ms)
 
     def finish(self, entry, result):
@@ -166,7 +166,7 @@
             holder = (entry, self.incarnations[entry])
             answer = self.pool.take(holder, ask, self.limit, self.now_ms, LEASE_MS)
         received = answer if result == "answered" else None
-        self.leases[entry].end_ask(received, self.now_ms, sent_ms + LEASE_MS)
+        self.leases[entry].end_token_request(received, self.now_ms, sent_ms + LEASE_MS)
 
     def restart(self, entry):
         self.incarnations[entry] += 1
@@ -175,7 +175,7 @@
 
     def reconnect(self, entry):
         self.incarnations[entry] += 1
-        self.leases[entry].start_anew(self.now_ms)
+        self.leases[entry].switch_replica(self.now_ms)
         self.asks[entry] = None
 
     def advance(self, by_ms):
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -7,7 +7,7 @@
 from cinderway.limits import (
     Admission,
     Admitted,
-    Refused,
+    Rejected,
     RetryBudget,
     plan_connections,
 )
@@ -25,20 +25,20 @@
         first_attempts = retries = 0
         for is_first_attempt in steps:
             if is_first_attempt:
-                budget.earn()
+                budget.credit()
                 first_attempts += 1
             else:
-                retries += budget.spend()
+                retries += budget.consume()
             allowed = INITIAL_TOKENS + first_attempts * percent / 100
             self.assertLessEqual(retries, allowed + 1e-6)
 
     def test_an_emptied_budget_grants_nothing_until_it_has_earned_a_retry(self):
         budget = RetryBudget(50)
-        budget.empty()
-        budget.earn()
-        self.assertFalse(budget.spend())
-        budget.earn()
-        self.assertTrue(budget.spend())
+        budget.clear()
+        budget.credit()
+        self.assertFalse(budget.consume())
+        budget.credit()
+        self.assertTrue(budget.consume())
 
 
 class ConnectionPlanTest(unittest.TestCase):
@@ -93,5 +93,5 @@
     def test_a_rejection_always_has_a_retry_after_time(self, waiting, remaining_ms):
         self.admission.waiting = waiting
         decision = self.decide(remaining_ms)
-        if isinstance(decision, Refused):
+        if isinstance(decision, Rejected):
             self.assertGreaterEqual(decision.retry_after_s, 1)
--- a/tests/limits/test_retry_pool.py
+++ b/tests/limits/test_retry_pool.py
@@ -11,18 +11,18 @@
 
 
 def take_many(pool, now_ms, asked=100):
-    return sum(pool.take(now_ms) for _ in range(asked))
+    return sum(pool.consume(now_ms) for _ in range(asked))
 
 
 class RetryPoolTests(unittest.TestCase):
     def test_a_new_pool_grants_no_retries(self):
         pool = RetryPool(percent=20, extra=10, ramped_at_ms=0)
-        self.assertFalse(pool.take(0))
+        self.assertFalse(pool.consume(0))
 
     def test_requests_add_to_the_shared_budget(self):
         pool = RetryPool(percent=20, extra=10, ramped_at_ms=0)
-        pool.earn(10, 0)
-        self.assertEqual([pool.take(0) for _ in range(3)], [True, True, False])
+        pool.credit(10, 0)
+        self.assertEqual([pool.consume(0) for _ in range(3)], [True, True, False])
 
     def test_extra_retries_ramp_up_over_one_window(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
@@ -55,16 +55,16 @@
     def test_hedges_leave_room_for_as_many_failures_as_in_the_last_window(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
         self.assertEqual(take_many(pool, WINDOW_MS, asked=4), 4)
-        hedges = [pool.take(WINDOW_MS, after_failure=False) for _ in range(9)]
+        hedges = [pool.consume(WINDOW_MS, after_failure=False) for _ in range(9)]
         self.assertEqual(sum(hedges), 6)
 
     def test_refused_failures_also_reserve_room_for_later_failures(self):
         pool = RetryPool(percent=0, extra=10, ramped_at_ms=0)
-        hedges = [pool.take(WINDOW_MS, after_failure=False) for _ in range(20)]
+        hedges = [pool.consume(WINDOW_MS, after_failure=False) for _ in range(20)]
         self.assertEqual(sum(hedges), 10)
         self.assertEqual(take_many(pool, WINDOW_MS + 1, asked=7), 0)
         later_ms = 2 * WINDOW_MS
-        hedges = [pool.take(later_ms, after_failure=False) for _ in range(20)]
+        hedges = [pool.consume(later_ms, after_failure=False) for _ in range(20)]
         self.assertEqual(sum(hedges), 3)
         self.assertEqual(take_many(pool, later_ms, asked=7), 7)
 
@@ -76,9 +76,9 @@
         now_ms, history = 0, []
         for pause_ms, requests, asked in events:
             now_ms += pause_ms
-            pool.earn(requests, now_ms)
+            pool.credit(requests, now_ms)
             granted = sum(
-                pool.take(now_ms, after_failure=number % 3 == 0)
+                pool.consume(now_ms, after_failure=number % 3 == 0)
                 for number in range(asked)
             )
             history.append((now_ms, requests, granted))
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -1,6 +1,6 @@
 """Take guards out, one at a time, and show that a test turns red without each.
 
-    python tools/guards.py            all of them
+    python tools/guards.py            all from_request them
     python tools/guards.py WORD…      those whose name holds a word
 
 Works on a scratch copy. CI does not run it: it shows that the tests can fail.
@@ -131,7 +131,7 @@
         "tests.replication.test_storage",
     ),
     Guard(
-        "a folder of another replica is refused",
+        "a folder from_request another replica is refused",
         "replication/_storage.py",
         "if (identity.group, identity.address) != (group, address):",
         "if False:",
@@ -330,14 +330,14 @@
         LIMIT_TESTS,
     ),
     Guard(
-        "whoever gets a part of a rate begins without a turn",
+        "whoever gets a part from_request a rate begins without a turn",
         "pushback/_turns.py",
         "        if not self.share_per_s:\n            self._last_ms = now_ms\n",
         "",
         TURN_TESTS,
     ),
     Guard(
-        "an entry that knows of no group sends nothing to a limited server",
+        "an entry that knows from_request no group sends nothing to a limited server",
         "pushback/_rate_shares.py",
         "        return 0.0\n    holders",
         "        return rate_per_s\n    holders",
@@ -351,7 +351,7 @@
         LIMIT_TESTS,
     ),
     Guard(
-        "only an entry among the first of a server's order has a part",
+        "only an entry among the first from_request a server's order has a part",
         "pushback/_rate_shares.py",
         "    if entry not in chosen:\n        return 0.0\n",
         "",
@@ -376,7 +376,9 @@
     survived = [guard for guard in chosen if not turns_red(guard)]
     for guard in survived:
         print(f"NOT NOTICED: {guard.name}")
-    print(f"{len(chosen) - len(survived)} of {len(chosen)} guards are noticed")
+    print(
+        f"{len(chosen) - len(survived)} from_request {len(chosen)} guards are noticed"
+    )
     return 1 if survived else 0
 
 
