--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -29,7 +29,7 @@
     ModelRoute,
     ModelService,
 )
-from cinderway.pushback import RateTurns, _book
+from cinderway.pushback import RateTokenBucket, _book
 
 SERVICE = ServiceName("payout-desk")
 NAMED_AT_MS = 3_500
@@ -114,7 +114,7 @@
         case Way.EQUAL_SAVED:
             return [
                 _equal_parts(entries),
-                mock.patch.object(RateTurns, "set_share", _saved),
+                mock.patch.object(RateTokenBucket, "set_share", _saved),
             ]
         case Way.ONE_PLACE:
             return _one_place()
@@ -124,19 +124,19 @@
     def share(server, rate_per_s, entry, group):
         return rate_per_s / entries
 
-    return mock.patch.object(_book, "share_of", share)
+    return mock.patch.object(_book, "compute_share", share)
 
 
-def _saved(turns: RateTurns, share_per_s: float, now_ms: int) -> None:
-    if not turns.share_per_s:
-        turns._last_ms = round(now_ms - 1000 / share_per_s)
-    turns.share_per_s = share_per_s
+def _saved(bucket: RateTokenBucket, share_per_s: float, now_ms: int) -> None:
+    if not bucket.share_per_s:
+        bucket._last_ms = round(now_ms - 1000 / share_per_s)
+    bucket.share_per_s = share_per_s
 
 
 def _one_place() -> list:
     last_ms: dict[str, int] = {}
 
-    class Shared(RateTurns):
+    class Shared(RateTokenBucket):
         """All entries' turns at one server."""
 
         server = ""
@@ -145,7 +145,7 @@
         def next_at_ms(self) -> float:
             return last_ms.get(self.server, 0) + 1000 / self.rate_per_s
 
-        def take(self, now_ms: int) -> bool:
+        def acquire(self, now_ms: int) -> bool:
             if now_ms < self.next_at_ms:
                 return False
             last_ms[self.server] = now_ms
@@ -154,13 +154,13 @@
         def release(self) -> None:
             """Lose it."""
 
-    def use_share(book, server, turns, now_ms):
-        turns.server = server
-        turns.share_per_s = turns.rate_per_s
+    def use_share(store, server, bucket, now_ms):
+        bucket.server = server
+        bucket.share_per_s = bucket.rate_per_s
 
     return [
-        mock.patch.object(_book, "RateTurns", Shared),
-        mock.patch.object(_book.PushbackBook, "_use_share", use_share),
+        mock.patch.object(_book, "RateTokenBucket", Shared),
+        mock.patch.object(_book.PushbackStore, "_apply_share", use_share),
     ]
 
 
--- a/src/cinderway/control/_service.py
+++ b/src/cinderway/control/_service.py
@@ -169,7 +169,7 @@
                 heard.report.data_hall,
                 heard.report.address,
                 heard.report.revision,
-                now_ms - heard.heard_at_ms,
+                now_ms - heard.received_at_ms,
                 self._fleet.state_of(heard.report.name, now_ms).value,
             )
             for heard in self._fleet.entries()
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -18,7 +18,7 @@
 from cinderway.membership import Fleet
 from cinderway.pushback import (
     EntryGroup,
-    PushbackBook,
+    PushbackStore,
     ServerLimits,
     ServerPushback,
 )
@@ -91,7 +91,7 @@
         """
         return (
             self.row.takes_work
-            and not self.pushback.leaves(now_ms)
+            and not self.pushback.has_announced_leaving(now_ms)
             and not self.is_listed_leaving
         )
 
@@ -130,7 +130,7 @@
     services: dict[ServiceName, ServiceState] = field(default_factory=dict)
     # Kept apart from the servers above, whose states are created again whenever they
     # are listed again.
-    pushback: PushbackBook = field(default_factory=PushbackBook)
+    pushback: PushbackStore = field(default_factory=PushbackStore)
     limits: LimitWatch = field(init=False)
     is_table_trusted: bool = False
     is_leaving: bool = False
@@ -167,9 +167,9 @@
         self.limits.receive_limits(reported, listed, now_ms)
         self.wake_waiting_requests()
 
-    def use_group(self, group: EntryGroup, now_ms: int) -> None:
+    def apply_group(self, group: EntryGroup, now_ms: int) -> None:
         """Apply the group of entries that share the servers' rate limits."""
-        self.limits.use_group(group, now_ms)
+        self.limits.apply_group(group, now_ms)
         # All groups are about the same size, since entries choose the nearest of many
         # replicas.
         self.entry_count = max(len(group.entries) * len(group.groups), 1)
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -214,7 +214,7 @@
             case ServerLimits():
                 self.board.receive_limits(message, now_ms)
             case FleetEntries(group=group):
-                self.board.use_group(group, now_ms)
+                self.board.apply_group(group, now_ms)
             case RequestRuns():
                 self.poison.receive_runs(message)
             case RequestRulings():
--- a/src/cinderway/entry/_limit_watch.py
+++ b/src/cinderway/entry/_limit_watch.py
@@ -12,11 +12,11 @@
 from cinderway._ids import ServerName
 from cinderway.pushback import (
     EntryGroup,
-    PushbackBook,
+    PushbackHeaders,
+    PushbackStore,
     RateLimit,
     ServerLimits,
     ServerPushback,
-    ServerWords,
 )
 
 logger = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 class LimitWatch:
     """Tracks the servers' rate limits and which of them are still to be reported."""
 
-    book: PushbackBook
+    store: PushbackStore
     has_changes: anyio.Event = field(default_factory=anyio.Event)
     _unreported: dict[ServerName, None] = field(default_factory=dict)
 
@@ -34,7 +34,7 @@
         self,
         server: ServerName,
         server_pushback: ServerPushback,
-        words: ServerWords,
+        headers: PushbackHeaders,
         now_ms: int,
         *,
         ends_without: bool,
@@ -44,10 +44,10 @@
         An answer without a limit ends the current one if `ends_without` is set; an
         answer with an unreadable limit changes nothing.
         """
-        if words.rate_limit_per_s is not None:
-            limit = RateLimit(words.rate_limit_per_s, now_ms)
+        if headers.rate_limit_per_s is not None:
+            limit = RateLimit(headers.rate_limit_per_s, now_ms)
         elif (
-            words.names_limit
+            headers.has_limit_header
             or not ends_without
             or not server_pushback.is_limited(now_ms)
         ):
@@ -64,7 +64,7 @@
     ) -> None:
         """Apply the limits that other processes learned of."""
         for line in reported.lines:
-            server_pushback = pushback_by_server.get(line.server) or self.book.of(
+            server_pushback = pushback_by_server.get(line.server) or self.store.of(
                 line.server
             )
             self._apply(line.server, server_pushback, line.limit(now_ms), now_ms)
@@ -75,7 +75,7 @@
         # An event that is not set may have waiters: it must not be replaced.
         if self.has_changes.is_set():
             self.has_changes = anyio.Event()
-        limits = {server: self.book.limits.of(server) for server in changed}
+        limits = {server: self.store.limits.of(server) for server in changed}
         known = {server: limit for server, limit in limits.items() if limit is not None}
         return ServerLimits.of(known, now_ms)
 
@@ -86,18 +86,18 @@
 
     def limits(self, now_ms: int) -> ServerLimits:
         """Return all current limits, for a replica that may not know them."""
-        return ServerLimits.of(self.book.limits.held(now_ms), now_ms)
+        return ServerLimits.of(self.store.limits.get_valid(now_ms), now_ms)
 
-    def use_group(self, group: EntryGroup, now_ms: int) -> None:
+    def apply_group(self, group: EntryGroup, now_ms: int) -> None:
         """Apply the group of entries that share the servers' rate limits."""
-        if group != self.book.group:
+        if group != self.store.group:
             logger.info(
                 "servers' rates are divided among %d entries of group %s, one of %d",
                 len(group.entries),
                 group.name,
                 len(group.groups),
             )
-        self.book.use_group(group, now_ms)
+        self.store.apply_group(group, now_ms)
 
     def _record(
         self,
@@ -117,16 +117,16 @@
         limit: RateLimit,
         now_ms: int,
     ) -> bool:
-        is_new = self.book.learn_limit(server, server_pushback, limit, now_ms)
-        if is_new and server_pushback.turns is None:
+        is_new = self.store.apply_limit(server, server_pushback, limit, now_ms)
+        if is_new and server_pushback.bucket is None:
             logger.info("backend server %s no longer has a rate limit", server)
         elif is_new:
             logger.info(
                 "backend server %s accepts %g requests/s from all entries, as of %d ms "
                 "ago; this entry sends %g/s",
                 server,
-                server_pushback.turns.rate_per_s,
-                now_ms - limit.heard_at_ms,
-                server_pushback.turns.share_per_s,
+                server_pushback.bucket.rate_per_s,
+                now_ms - limit.received_at_ms,
+                server_pushback.bucket.share_per_s,
             )
         return is_new
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -26,7 +26,7 @@
     RequestRuns,
     Ruling,
 )
-from cinderway.pushback import LimitRecord, ServerLimits
+from cinderway.pushback import RateLimitStore, ServerLimits
 from cinderway.wire import Connection, Message, Route
 
 logger = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
         # Rulings on requests that are still to be sent to the connected entries.
         self._unsent_rulings: list[Ruling] = []
         # The rate limits that backend servers ask for, as entries report them.
-        self._limits = LimitRecord()
+        self._limits = RateLimitStore()
         self._unsent_limits: set[ServerName] = set()
         self._board = board
         self._sessions: set[_Session] = set()
@@ -95,7 +95,9 @@
         try:
             # An entry that has just started knows no limits yet.
             now_ms = monotonic_ms()
-            await connection.send(ServerLimits.of(self._limits.held(now_ms), now_ms))
+            await connection.send(
+                ServerLimits.of(self._limits.get_valid(now_ms), now_ms)
+            )
             while True:
                 envelope = await connection.receive()
                 match envelope.message:
@@ -143,7 +145,7 @@
         unsent, self._unsent_limits = self._unsent_limits, set()
         if not unsent:
             return
-        held = self._limits.held(now_ms)
+        held = self._limits.get_valid(now_ms)
         limits = {server: held[server] for server in unsent & held.keys()}
         for session in list(self._sessions):
             await self._send(session, ServerLimits.of(limits, now_ms))
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -131,7 +131,7 @@
         )
         live[own.name] = own
         fleet = EntryGroup(FLEET_GROUP, frozenset({FLEET_GROUP}), frozenset(live))
-        self.board.use_group(fleet, now_ms)
+        self.board.apply_group(fleet, now_ms)
         groups = {group_of(name) for name in self.board.services}
         self._assessors = {
             group: assessors_of(group, list(live.values()), avoid) for group in groups
--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -20,7 +20,7 @@
     BackendRequest,
     HeaderNames,
 )
-from cinderway.limits import ConnectLimit
+from cinderway.limits import ConnectTimeout
 from cinderway.wire import split_address
 
 SENDING_STARTED_EVENT = "http11.send_request_headers.started"
@@ -132,7 +132,7 @@
     idle_limit: int = 64
     names: HeaderNames = OWN_NAMES
     opened: int = 0
-    connect_limit: ConnectLimit = field(default_factory=ConnectLimit)
+    connect_timeout: ConnectTimeout = field(default_factory=ConnectTimeout)
     _idle: dict[Address, deque[_PooledConnection]] = field(default_factory=dict)
 
     async def send(
@@ -212,11 +212,11 @@
         try:
             # The timeout is adaptive: one fixed for the slowest link would make
             # requests late that meet a dead server on a fast link.
-            with anyio.fail_after(self.connect_limit.limit_ms / 1000):
+            with anyio.fail_after(self.connect_timeout.current_ms / 1000):
                 stream = await anyio.connect_tcp(host.strip("[]"), port)
         except (OSError, TimeoutError) as error:
             if isinstance(error, TimeoutError):
-                self.connect_limit.record_timeout()
+                self.connect_timeout.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 f"cannot connect: {error or 'timed out'}",
@@ -224,7 +224,7 @@
                 peer=address,
             ) from error
         self.opened += 1
-        self.connect_limit.record_connect_time(monotonic_ms() - start_ms)
+        self.connect_timeout.record_connect_time(monotonic_ms() - start_ms)
         http_stream = _Stream(stream)
         http = httpcore.AsyncHTTP11Connection(
             httpcore.Origin(b"http", host.encode(), port),
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -26,7 +26,7 @@
     Bad,
     EvidenceLog,
 )
-from cinderway.pushback import Turn
+from cinderway.pushback import RateToken
 from cinderway.routing import USUAL_PENALTIES, Penalties
 
 # After a shed, this entry sends the server nothing for about the time that one of its
@@ -110,11 +110,11 @@
             service.row.name, server.row.name, monotonic_ms()
         )
         outgoing = OutgoingAttempt(
-            service, server, attempt, attempt_id, Turn(server.pushback)
+            service, server, attempt, attempt_id, RateToken(server.pushback)
         )
         # Acquired now, so that no other request gets the same token. Whether it was
         # granted is checked just before the request is written.
-        outgoing.token.take(monotonic_ms())
+        outgoing.token.acquire(monotonic_ms())
         is_fresh = not is_repeatable
         try:
             try:
@@ -148,7 +148,7 @@
         attempt = self.evidence.start_attempt(
             service.row.name, server.row.name, monotonic_ms(), is_probe=True
         )
-        token = Turn(server.pushback)
+        token = RateToken(server.pushback)
         outgoing = OutgoingAttempt(
             service, server, attempt, self.new_attempt_id(), token
         )
--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -6,7 +6,7 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
 from cinderway.entry._blackboard import ServerState, ServiceState
-from cinderway.pushback import Turn
+from cinderway.pushback import RateToken
 
 
 class HeldBackError(CinderwayError):
@@ -41,20 +41,20 @@
 
 
 def check_rate_limit(
-    server: ServerState, token: Turn, now_ms: int
+    server: ServerState, token: RateToken, now_ms: int
 ) -> HeldBackError | None:
     """Return the error if a server's rate limit does not allow a request, else None.
 
     If the request is allowed, it acquires a token unless it already has one.
     """
-    if token.take(now_ms):
+    if token.acquire(now_ms):
         return None
-    turns = server.pushback.turns
+    bucket = server.pushback.bucket
     return _build_error(
         server,
         ErrorCode.BACKEND_LIMITED,
-        f"its rate limit is {turns.rate_per_s:g} requests/s for all entries, "
-        f"{turns.share_per_s:g} of them for this one",
+        f"its rate limit is {bucket.rate_per_s:g} requests/s for all entries, "
+        f"{bucket.share_per_s:g} of them for this one",
     )
 
 
--- a/src/cinderway/entry/servers/_messages.py
+++ b/src/cinderway/entry/servers/_messages.py
@@ -9,7 +9,7 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, AttemptId
-from cinderway.pushback import ServerWords, words_of
+from cinderway.pushback import PushbackHeaders, parse_pushback_headers
 
 # How long a connection may be idle if its server announces no keep-alive timeout.
 IDLE_LIMIT_S = 30.0
@@ -94,9 +94,9 @@
                 return value
         return None
 
-    def parse_pushback(self, wall_clock_ms: int) -> ServerWords:
+    def parse_pushback(self, wall_clock_ms: int) -> PushbackHeaders:
         """Parse the pushback in the response."""
-        return words_of(
+        return parse_pushback_headers(
             self.status,
             self.headers,
             is_shed=self.is_shed,
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -15,7 +15,7 @@
 from cinderway.entry.servers._load_report import parse_load
 from cinderway.entry.servers._messages import BackendAnswer
 from cinderway.judgement import Attempt, EvidenceLog
-from cinderway.pushback import NO_WORDS, ServerWords, Turn
+from cinderway.pushback import NO_PUSHBACK, PushbackHeaders, RateToken
 
 logger = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
     server: ServerState
     attempt: Attempt
     attempt_id: AttemptId
-    token: Turn
+    token: RateToken
 
     def __str__(self) -> str:
         """Return the server's description for log lines."""
@@ -64,7 +64,7 @@
         """Apply the pushback and the load report in a response's headers."""
         server = outgoing.server
         pushback = answer.parse_pushback(wall_clock_ms())
-        if pushback is not NO_WORDS:
+        if pushback is not NO_PUSHBACK:
             self._apply_pushback(outgoing, pushback, now_ms)
         is_good = answer.status < SERVER_ERROR and not answer.is_shed
         # A response to a request that failed or did not run may lack the limit header,
@@ -111,11 +111,11 @@
         )
 
     def _apply_pushback(
-        self, outgoing: OutgoingAttempt, pushback: ServerWords, now_ms: int
+        self, outgoing: OutgoingAttempt, pushback: PushbackHeaders, now_ms: int
     ) -> None:
         """Apply a server's pushback and log what is new in it."""
         server = outgoing.server
-        if pushback.is_leaving and not server.pushback.leaves(now_ms):
+        if pushback.is_leaving and not server.pushback.has_announced_leaving(now_ms):
             logger.info("%s announced that it is leaving", outgoing)
         if pushback.backoff_ms is not None:
             labels = {"service": outgoing.service.row.name}
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -18,7 +18,7 @@
 from cinderway.entry.servers._messages import BackendAnswer, BackendRequest
 from cinderway.experiment._declaration import Experiment, PoisonRequest
 from cinderway.experiment._servers import ModelServer, RunBrokenError, ServerAnswer
-from cinderway.limits import ConnectLimit
+from cinderway.limits import ConnectTimeout
 
 
 @dataclass
@@ -38,7 +38,7 @@
     far_bytes: int = 0
     is_dark: bool = False
     _idle: Counter[Address] = field(default_factory=Counter)
-    _connect_limit: ConnectLimit = field(default_factory=ConnectLimit)
+    _connect_timeout: ConnectTimeout = field(default_factory=ConnectTimeout)
 
     def __post_init__(self):
         self._may_end = bool(self.experiment.poison)
@@ -96,8 +96,8 @@
 
     async def _connect(self, server: ModelServer, way_s: float) -> None:
         if server.is_dark:
-            await anyio.sleep(self._connect_limit.limit_ms / 1000)
-            self._connect_limit.record_timeout()
+            await anyio.sleep(self._connect_timeout.current_ms / 1000)
+            self._connect_timeout.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 "cannot connect: timed out",
@@ -112,7 +112,7 @@
                 step=Step.CONNECT,
                 peer=server.address,
             )
-        self._connect_limit.record_connect_time(2000 * way_s)
+        self._connect_timeout.record_connect_time(2000 * way_s)
         self.opened += 1
 
     async def _run(
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -77,7 +77,7 @@
     """The data hall of a reporting entry and the time of its last report."""
 
     hall: DataHall
-    heard_at_ms: int
+    received_at_ms: int
 
 
 class ServiceJudge:
@@ -373,7 +373,7 @@
 
     def _active_reporters(self, now_ms: int) -> list[Reporter]:
         oldest_ms = now_ms - REPORTER_ACTIVE_MS
-        return [r for r in self._reporters.values() if r.heard_at_ms >= oldest_ms]
+        return [r for r in self._reporters.values() if r.received_at_ms >= oldest_ms]
 
     def _peer_failure_rate(self) -> float:
         """Lower quartile of the servers' recent failure rates."""
--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -11,7 +11,7 @@
     TokenGrant,
     TokenRequest,
 )
-from cinderway.limits._connect_limit import ConnectLimit
+from cinderway.limits._connect_limit import ConnectTimeout
 from cinderway.limits._connections import ConnectionPlan, plan_connections
 from cinderway.limits._overload import expected_answer_ms, is_hopeless
 from cinderway.limits._retry_budget import RetryBudget
@@ -23,7 +23,7 @@
     "AllowanceLease",
     "AllowancePool",
     "AllowanceRules",
-    "ConnectLimit",
+    "ConnectTimeout",
     "ConnectionPlan",
     "Rejected",
     "RetryBudget",
--- a/src/cinderway/limits/_connect_limit.py
+++ b/src/cinderway/limits/_connect_limit.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class ConnectLimit:
+class ConnectTimeout:
     """The connect timeout of one process.
 
     Until the first connection succeeds, it is the maximum. Each consecutive timeout
@@ -33,7 +33,7 @@
     _consecutive_timeouts: int = 0
 
     @property
-    def limit_ms(self) -> float:
+    def current_ms(self) -> float:
         """The timeout for the next connection attempt."""
         if self._smoothed_ms is None:
             return MAXIMUM_TIMEOUT_MS
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -36,7 +36,7 @@
     """An entry's newest report and its time of origin by this process's clock."""
 
     report: EntryReport
-    heard_at_ms: int
+    received_at_ms: int
 
 
 class Fleet:
@@ -50,13 +50,13 @@
         self._highest_revision: dict[EntryName, int] = {}
         self._listed: frozenset[EntryName] | None = None
 
-    def record_report(self, report: EntryReport, heard_at_ms: int) -> int:
+    def record_report(self, report: EntryReport, received_at_ms: int) -> int:
         """Record a report; return the highest revision that the entry ever reported."""
         highest = max(self._highest_revision.get(report.name, 0), report.revision)
         self._highest_revision[report.name] = highest
         known = self._entries.get(report.name)
-        if known is None or heard_at_ms > known.heard_at_ms:
-            self._entries[report.name] = KnownEntry(report, heard_at_ms)
+        if known is None or received_at_ms > known.received_at_ms:
+            self._entries[report.name] = KnownEntry(report, received_at_ms)
         return highest
 
     def record_reports(self, reports: list[HeardReport], now_ms: int) -> None:
@@ -74,7 +74,7 @@
         if len(names) > count:
             names = rng.sample(names, count)
         known = [self._entries[name] for name in names]
-        return [HeardReport(h.report, max(now_ms - h.heard_at_ms, 0)) for h in known]
+        return [HeardReport(h.report, max(now_ms - h.received_at_ms, 0)) for h in known]
 
     def set_listed(self, names: frozenset[EntryName] | None) -> None:
         """Set the entries on the platform's list, or None if it is unavailable."""
@@ -85,7 +85,7 @@
         known = self._entries.get(name)
         if known is None:
             return LiveState.GONE
-        silent_ms = now_ms - known.heard_at_ms
+        silent_ms = now_ms - known.received_at_ms
         if silent_ms >= self._gone_after_ms(name):
             return LiveState.GONE
         if silent_ms >= SILENT_AFTER_MS:
@@ -124,7 +124,7 @@
         there are more than `MAX_KEPT_REVISIONS`.
         """
         for name, known in list(self._entries.items()):
-            if now_ms - known.heard_at_ms >= FORGET_AFTER_MS:
+            if now_ms - known.received_at_ms >= FORGET_AFTER_MS:
                 del self._entries[name]
         if len(self._highest_revision) > MAX_KEPT_REVISIONS:
             self._highest_revision = {
--- a/src/cinderway/pushback/__init__.py
+++ b/src/cinderway/pushback/__init__.py
@@ -15,26 +15,26 @@
 from cinderway.pushback._book import (
     LEAVING_VALID_MS,
     MAXIMUM_TRACKED_SERVERS,
-    PushbackBook,
+    PushbackStore,
+    RateToken,
     ServerPushback,
-    Turn,
 )
-from cinderway.pushback._limits import LimitRecord, RateLimit
+from cinderway.pushback._limits import RateLimit, RateLimitStore
 from cinderway.pushback._messages import FleetEntries, ServerLimit, ServerLimits
 from cinderway.pushback._rate_shares import (
     MINIMUM_RATE_PER_S,
     EntryGroup,
     compute_holder_count,
-    share_of,
+    compute_share,
 )
-from cinderway.pushback._turns import RateTurns
+from cinderway.pushback._turns import RateTokenBucket
 from cinderway.pushback._words import (
     MAXIMUM_BACKOFF_MS,
-    NO_WORDS,
+    NO_PUSHBACK,
     RETRY_AFTER,
     UNAVAILABLE,
-    ServerWords,
-    words_of,
+    PushbackHeaders,
+    parse_pushback_headers,
 )
 
 __all__ = [
@@ -42,21 +42,21 @@
     "MAXIMUM_BACKOFF_MS",
     "MAXIMUM_TRACKED_SERVERS",
     "MINIMUM_RATE_PER_S",
-    "NO_WORDS",
+    "NO_PUSHBACK",
     "RETRY_AFTER",
     "UNAVAILABLE",
     "EntryGroup",
     "FleetEntries",
-    "LimitRecord",
-    "PushbackBook",
+    "RateLimitStore",
+    "PushbackStore",
     "RateLimit",
-    "RateTurns",
+    "RateTokenBucket",
     "ServerLimit",
     "ServerLimits",
     "ServerPushback",
-    "ServerWords",
-    "Turn",
+    "PushbackHeaders",
+    "RateToken",
     "compute_holder_count",
-    "share_of",
-    "words_of",
+    "compute_share",
+    "parse_pushback_headers",
 ]
--- a/src/cinderway/pushback/_book.py
+++ b/src/cinderway/pushback/_book.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 
 from cinderway._ids import EntryName, ServerName
-from cinderway.pushback._limits import LimitRecord, RateLimit
+from cinderway.pushback._limits import RateLimit, RateLimitStore
 from cinderway.pushback._rate_shares import (
     MINIMUM_RATE_PER_S,
     EntryGroup,
-    share_of,
+    compute_share,
 )
-from cinderway.pushback._turns import RateTurns
-from cinderway.pushback._words import ServerWords
+from cinderway.pushback._turns import RateTokenBucket
+from cinderway.pushback._words import PushbackHeaders
 
 # Maximum number of servers whose pushback is kept; the least recently updated ones are
 # evicted first. The value is several times a tenth of the 11,000 servers of the largest
@@ -38,7 +38,7 @@
     last_backoff_ms: int = 0
     leaves_until_ms: int = 0
     # Token bucket for this entry's share of the server's rate limit, if it has one.
-    turns: RateTurns | None = None
+    bucket: RateTokenBucket | None = None
 
     def is_backing_off(self, now_ms: int) -> bool:
         """Whether this entry must not send it requests now."""
@@ -46,7 +46,7 @@
 
     def is_limited(self, now_ms: int) -> bool:
         """Whether it has a rate limit in force."""
-        return self.turns is not None and now_ms < self.turns.valid_until_ms
+        return self.bucket is not None and now_ms < self.bucket.valid_until_ms
 
     def can_accept(self, now_ms: int) -> bool:
         """Whether it accepts a request now: no backoff, and a token is available."""
@@ -56,7 +56,7 @@
         """Return the earliest time at which it accepts a request from this entry."""
         if not self.is_limited(now_ms):
             return self.backoff_until_ms
-        token_at_ms = min(self.turns.next_at_ms, self.turns.valid_until_ms)
+        token_at_ms = min(self.bucket.next_at_ms, self.bucket.valid_until_ms)
         return max(self.backoff_until_ms, token_at_ms)
 
     def retry_after_ms(self, now_ms: int) -> int:
@@ -69,7 +69,7 @@
         if not self.is_limited(now_ms):
             return backoff_left_ms
         return math.ceil(
-            max(backoff_left_ms, self.turns.compute_next_in_fleet_ms(now_ms))
+            max(backoff_left_ms, self.bucket.compute_next_in_fleet_ms(now_ms))
         )
 
     def compute_capacity_until(self, until_ms: float, now_ms: int) -> float:
@@ -78,9 +78,9 @@
             return 0
         if not self.is_limited(now_ms):
             return math.inf
-        return self.turns.count_tokens_until(until_ms)
+        return self.bucket.count_tokens_until(until_ms)
 
-    def leaves(self, now_ms: int) -> bool:
+    def has_announced_leaving(self, now_ms: int) -> bool:
         """Whether it has announced that it is leaving."""
         return now_ms < self.leaves_until_ms
 
@@ -97,7 +97,7 @@
         self.leaves_until_ms = max(self.leaves_until_ms, until_ms)
 
 
-class Turn:
+class RateToken:
     """Rate limit token for one request to a server that may have a rate limit.
 
     It is acquired at most once: when the server is chosen, or else before the request
@@ -106,15 +106,15 @@
 
     def __init__(self, pushback: ServerPushback):
         self._pushback = pushback
-        self._acquired_from: RateTurns | None = None
+        self._acquired_from: RateTokenBucket | None = None
 
-    def take(self, now_ms: int) -> bool:
+    def acquire(self, now_ms: int) -> bool:
         """Acquire a token if one is needed; return False if none is available."""
         if self._acquired_from is not None or not self._pushback.is_limited(now_ms):
             return True
-        if not self._pushback.turns.take(now_ms):
+        if not self._pushback.bucket.acquire(now_ms):
             return False
-        self._acquired_from = self._pushback.turns
+        self._acquired_from = self._pushback.bucket
         return True
 
     def release(self) -> None:
@@ -125,7 +125,7 @@
 
 
 @dataclass
-class PushbackBook:
+class PushbackStore:
     """Stores the pushback of servers, also while they are not in the catalog.
 
     `leaving_valid_ms` is how long an announcement of leaving is valid, counted from its
@@ -135,7 +135,7 @@
     leaving_valid_ms: int = LEAVING_VALID_MS
     entry: EntryName = EntryName("")
     group: EntryGroup | None = None
-    limits: LimitRecord = field(default_factory=LimitRecord)
+    limits: RateLimitStore = field(default_factory=RateLimitStore)
     _servers: dict[ServerName, ServerPushback] = field(default_factory=dict)
 
     def of(self, server: ServerName) -> ServerPushback:
@@ -150,20 +150,20 @@
         self,
         server: ServerName,
         pushback: ServerPushback,
-        words: ServerWords,
+        headers: PushbackHeaders,
         now_ms: int,
     ) -> None:
-        """Apply backoff and leaving from a response; `learn_limit` applies rate limits.
+        """Apply backoff and leaving from a response; `apply_limit` applies rate limits.
 
         `pushback` is what `of` returned.
         """
-        if words.backoff_ms is not None:
-            pushback.apply_backoff(words.backoff_ms, now_ms)
-        if words.is_leaving:
+        if headers.backoff_ms is not None:
+            pushback.apply_backoff(headers.backoff_ms, now_ms)
+        if headers.is_leaving:
             pushback.leave(now_ms + self.leaving_valid_ms)
         self._store(server, pushback)
 
-    def learn_limit(
+    def apply_limit(
         self,
         server: ServerName,
         pushback: ServerPushback,
@@ -178,21 +178,21 @@
         must_announce = self.limits.record_limit(server, limit)
         newest = self.limits.of(server)
         if newest is None or newest.rate_per_s is None:
-            pushback.turns = None
+            pushback.bucket = None
         else:
-            self._apply_limit(server, pushback, newest, now_ms)
+            self._update_bucket(server, pushback, newest, now_ms)
         return must_announce
 
-    def use_group(self, group: EntryGroup, now_ms: int) -> None:
+    def apply_group(self, group: EntryGroup, now_ms: int) -> None:
         """Apply a new group of entries with which this entry divides rate limits."""
         if group == self.group:
             return
         self.group = group
         for server, pushback in self._servers.items():
             if pushback.is_limited(now_ms):
-                self._use_share(server, pushback.turns, now_ms)
+                self._apply_share(server, pushback.bucket, now_ms)
 
-    def _apply_limit(
+    def _update_bucket(
         self,
         server: ServerName,
         pushback: ServerPushback,
@@ -201,17 +201,19 @@
     ) -> None:
         rate_per_s = max(limit.rate_per_s, MINIMUM_RATE_PER_S)
         if not pushback.is_limited(now_ms):
-            pushback.turns = RateTurns(limit.valid_until_ms, rate_per_s)
-            self._use_share(server, pushback.turns, now_ms)
-        elif pushback.turns.rate_per_s != rate_per_s:
-            pushback.turns.rate_per_s = rate_per_s
-            self._use_share(server, pushback.turns, now_ms)
-        pushback.turns.valid_until_ms = limit.valid_until_ms
+            pushback.bucket = RateTokenBucket(limit.valid_until_ms, rate_per_s)
+            self._apply_share(server, pushback.bucket, now_ms)
+        elif pushback.bucket.rate_per_s != rate_per_s:
+            pushback.bucket.rate_per_s = rate_per_s
+            self._apply_share(server, pushback.bucket, now_ms)
+        pushback.bucket.valid_until_ms = limit.valid_until_ms
         self._store(server, pushback)
 
-    def _use_share(self, server: ServerName, turns: RateTurns, now_ms: int) -> None:
-        share = share_of(server, turns.rate_per_s, self.entry, self.group)
-        turns.set_share(share, now_ms)
+    def _apply_share(
+        self, server: ServerName, bucket: RateTokenBucket, now_ms: int
+    ) -> None:
+        share = compute_share(server, bucket.rate_per_s, self.entry, self.group)
+        bucket.set_share(share, now_ms)
 
     def _store(self, server: ServerName, pushback: ServerPushback) -> None:
         self._servers.pop(server, None)
--- a/src/cinderway/pushback/_limits.py
+++ b/src/cinderway/pushback/_limits.py
@@ -25,7 +25,7 @@
     """
 
     rate_per_s: float | None
-    heard_at_ms: int
+    received_at_ms: int
 
     def holds(self, now_ms: int) -> bool:
         """Whether the limit is in force."""
@@ -34,7 +34,7 @@
     @property
     def valid_until_ms(self) -> int:
         """When it expires unless it is received again."""
-        return self.heard_at_ms + LIMIT_VALID_MS
+        return self.received_at_ms + LIMIT_VALID_MS
 
     def differs_from(self, other: "RateLimit") -> bool:
         """Whether the two differ enough that the change must be announced."""
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class LimitRecord:
+class RateLimitStore:
     """The most recent rate limit of each server, whichever process received it.
 
     The removal of a limit is stored like a limit, so that an older update that arrives
@@ -62,7 +62,7 @@
     def record_limit(self, server: ServerName, limit: RateLimit) -> bool:
         """Store a limit if it is newer; return True if it must be announced."""
         known = self._limits.pop(server, None)
-        if known is not None and limit.heard_at_ms < known.heard_at_ms:
+        if known is not None and limit.received_at_ms < known.received_at_ms:
             self._limits[server] = known
             return False
         if known is None and limit.rate_per_s is None:
@@ -71,7 +71,7 @@
         self._evict_oldest()
         return self._update_announced(server, limit)
 
-    def held(self, now_ms: int) -> dict[ServerName, RateLimit]:
+    def get_valid(self, now_ms: int) -> dict[ServerName, RateLimit]:
         """Return all limits that have not expired, and all unexpired removals."""
         return {
             server: limit
@@ -83,7 +83,7 @@
         """Return whether a limit must be announced, and if so mark it as announced."""
         announced = self._announced.get(server)
         if announced is not None and not limit.differs_from(announced):
-            if limit.heard_at_ms - announced.heard_at_ms < RENEWAL_INTERVAL_MS:
+            if limit.received_at_ms - announced.received_at_ms < RENEWAL_INTERVAL_MS:
                 return False
         self._announced[server] = limit
         return True
--- a/src/cinderway/pushback/_messages.py
+++ b/src/cinderway/pushback/_messages.py
@@ -34,7 +34,7 @@
         """Build the message that sends limits to another process."""
         return cls(
             [
-                ServerLimit(server, limit.rate_per_s, now_ms - limit.heard_at_ms)
+                ServerLimit(server, limit.rate_per_s, now_ms - limit.received_at_ms)
                 for server, limit in limits.items()
             ]
         )
--- a/src/cinderway/pushback/_rate_shares.py
+++ b/src/cinderway/pushback/_rate_shares.py
@@ -52,7 +52,7 @@
     return max(math.floor(unused_tokens), 1)
 
 
-def share_of(
+def compute_share(
     server: ServerName, rate_per_s: float, entry: EntryName, group: EntryGroup | None
 ) -> float:
     """Return an entry's share of a rate in requests per second, 0 if it has none.
--- a/src/cinderway/pushback/_turns.py
+++ b/src/cinderway/pushback/_turns.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class RateTurns:
+class RateTokenBucket:
     """One entry's token bucket for one server; it holds at most one token.
 
     `rate_per_s` is the server's limit for the whole fleet; `share_per_s` is the entry's
@@ -49,7 +49,7 @@
             return 0
         return math.ceil((until_ms - self.next_at_ms) / self.token_interval_ms)
 
-    def take(self, now_ms: int) -> bool:
+    def acquire(self, now_ms: int) -> bool:
         """Consume a token; return False if none is available."""
         if now_ms < self.next_at_ms:
             return False
--- a/src/cinderway/pushback/_words.py
+++ b/src/cinderway/pushback/_words.py
@@ -27,24 +27,24 @@
 
 
 @dataclass(frozen=True)
-class ServerWords:
+class PushbackHeaders:
     """Pushback in one response; `backoff_ms` is None if it requests no backoff.
 
     `rate_limit_per_s` is the rate that the server accepts from all entries together. It
-    is None if there is no limit header or no valid value in it; `names_limit` is True
-    only in the second case.
+    is None if there is no limit header or no valid value in it; `has_limit_header` is
+    True only in the second case.
     """
 
     backoff_ms: int | None = None
     is_leaving: bool = False
     rate_limit_per_s: float | None = None
-    names_limit: bool = False
+    has_limit_header: bool = False
 
 
-NO_WORDS = ServerWords()
+NO_PUSHBACK = PushbackHeaders()
 
 
-def words_of(
+def parse_pushback_headers(
     status: int,
     headers: Headers,
     *,
@@ -52,7 +52,7 @@
     leaving_header: bytes,
     limit_header: bytes,
     wall_clock_ms: int,
-) -> ServerWords:
+) -> PushbackHeaders:
     """Parse the pushback in a response's status and headers.
 
     `is_shed` means that the server did not run the request. Only then does a 429
@@ -78,8 +78,8 @@
     if has_backoff:
         backoff_ms = _parse_backoff_ms(retry_after_values, date_ms)
     if not (backoff_ms or is_leaving or limit_values):
-        return NO_WORDS
-    return ServerWords(
+        return NO_PUSHBACK
+    return PushbackHeaders(
         backoff_ms, is_leaving, _parse_rate_per_s(limit_values), bool(limit_values)
     )
 
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -41,7 +41,7 @@
 
     def __init__(self, rate=b"2", names_=(LIMITED, "fit"), others=(), connect_ms=0):
         super().__init__(build_answer_of(rate), names=names_, connect_ms=connect_ms)
-        self.board.use_group(build_group(*others), monotonic_ms())
+        self.board.apply_group(build_group(*others), monotonic_ms())
 
     def get_pushback(self):
         return self.board.services[SERVICE].servers[LIMITED].pushback
@@ -108,10 +108,10 @@
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
             world.board.receive_limits(update, monotonic_ms())
             await anyio.sleep(2)
-            rate_bucket = world.get_pushback().turns
-            rate_bucket.take(monotonic_ms())
+            rate_bucket = world.get_pushback().bucket
+            rate_bucket.acquire(monotonic_ms())
             rate_bucket.release()
-            return rate_bucket.take(monotonic_ms())
+            return rate_bucket.acquire(monotonic_ms())
 
         self.assertTrue(run_in_virtual_time(play))
 
@@ -233,7 +233,7 @@
     def test_an_older_update_that_arrives_later_does_not_restore_a_limit(self):
         async def play():
             world = LimitedWorld()
-            book = world.board.pushback
+            store = world.board.pushback
             await anyio.sleep(1)
             now_ms = monotonic_ms()
             for limit in (
@@ -241,7 +241,7 @@
                 RateLimit(None, now_ms),
                 RateLimit(2.0, now_ms - 300),
             ):
-                book.learn_limit(LIMITED, world.get_pushback(), limit, now_ms)
+                store.apply_limit(LIMITED, world.get_pushback(), limit, now_ms)
             return world.get_pushback().is_limited(now_ms)
 
         self.assertFalse(run_in_virtual_time(play))
--- a/tests/entry/test_limit_watch.py
+++ b/tests/entry/test_limit_watch.py
@@ -17,7 +17,7 @@
     def test_an_entry_that_knows_its_group_counts_all_entries_of_all_groups(self):
         board = Blackboard(EntryName("e1"), DataHall("suva"), random.Random(1))
         names = frozenset(EntryName(f"e{number}") for number in range(8))
-        board.use_group(EntryGroup("a", frozenset("abcde"), names), 0)
+        board.apply_group(EntryGroup("a", frozenset("abcde"), names), 0)
         self.assertEqual(board.entry_count, 40)
 
     def test_an_entry_without_a_group_counts_only_itself(self):
--- a/tests/pushback/test_rate_shares.py
+++ b/tests/pushback/test_rate_shares.py
@@ -10,11 +10,11 @@
 from cinderway.pushback import (
     MINIMUM_RATE_PER_S,
     EntryGroup,
-    PushbackBook,
+    PushbackStore,
     RateLimit,
-    Turn,
+    RateToken,
     compute_holder_count,
-    share_of,
+    compute_share,
 )
 
 SERVER = ServerName("i-1")
@@ -43,7 +43,7 @@
 def compute_shares(rate_per_s, sizes, server=SERVER):
     """Return the share of each entry that has one."""
     found = {
-        entry: share_of(server, rate_per_s, entry, group)
+        entry: compute_share(server, rate_per_s, entry, group)
         for group in groups_of(sizes)
         for entry in group.entries
     }
@@ -76,7 +76,7 @@
         self.assertLessEqual(1.3 * at_once, compute_bound(rate_per_s) * (1 + 1e-9))
 
     def test_an_entry_without_a_group_has_no_share(self):
-        self.assertEqual(share_of(SERVER, 20.0, EntryName("e1"), None), 0.0)
+        self.assertEqual(compute_share(SERVER, 20.0, EntryName("e1"), None), 0.0)
 
     def test_servers_choose_different_entries(self):
         chosen = set()
@@ -122,7 +122,7 @@
     now_ms: int = 0
     rate_valid_from_ms: int = 0
     arrivals_ms: list[int] = field(default_factory=list)
-    books: dict[EntryName, PushbackBook] = field(default_factory=dict)
+    books: dict[EntryName, PushbackStore] = field(default_factory=dict)
     pending: list[tuple[int, EntryName]] = field(default_factory=list)
 
     def __post_init__(self):
@@ -136,21 +136,21 @@
         self.start(name)
 
     def start(self, name):
-        book = self.books[name] = PushbackBook(entry=name)
+        store = self.books[name] = PushbackStore(entry=name)
         self.pending.append((self.now_ms + UPDATE_DELAY_MS, name))
         # Without a group it has no share, even if it receives the limit.
-        book.group = None
+        store.group = None
 
     def update(self, name):
         """Send the current group and limit to an entry."""
-        book = self.books.get(name)
-        if book is None:
+        store = self.books.get(name)
+        if store is None:
             return
-        book.use_group(
+        store.apply_group(
             EntryGroup("g", frozenset({"g"}), frozenset(self.books)), self.now_ms
         )
         limit = RateLimit(self.rate_per_s, self.now_ms)
-        book.learn_limit(SERVER, book.of(SERVER), limit, self.now_ms)
+        store.apply_limit(SERVER, store.of(SERVER), limit, self.now_ms)
 
     def apply(self, event):
         if event.restarts:
@@ -173,13 +173,13 @@
         self.pending = [p for p in self.pending if p[0] > self.now_ms]
         for name in due:
             self.update(name)
-        for book in self.books.values():
-            pushback = book.of(SERVER)
+        for store in self.books.values():
+            pushback = store.of(SERVER)
             is_limited = pushback.is_limited(self.now_ms)
             if (
                 is_limited
                 and pushback.can_accept(self.now_ms)
-                and Turn(pushback).take(self.now_ms)
+                and RateToken(pushback).acquire(self.now_ms)
             ):
                 self.arrivals_ms.append(self.now_ms)
         self.now_ms += STEP_MS
--- a/tests/pushback/test_words.py
+++ b/tests/pushback/test_words.py
@@ -4,7 +4,12 @@
 
 from hypothesis import given, strategies as st
 
-from cinderway.pushback import MAXIMUM_BACKOFF_MS, NO_WORDS, ServerWords, words_of
+from cinderway.pushback import (
+    MAXIMUM_BACKOFF_MS,
+    NO_PUSHBACK,
+    PushbackHeaders,
+    parse_pushback_headers,
+)
 
 NOW_MS = 1_700_000_000_000
 NOW = b"Tue, 14 Nov 2023 22:13:20 GMT"
@@ -13,7 +18,7 @@
 
 
 def parse(*headers, status=503, is_shed=True):
-    return words_of(
+    return parse_pushback_headers(
         status,
         headers,
         is_shed=is_shed,
@@ -89,14 +94,14 @@
                 self.assertTrue(found.is_leaving)
 
     def test_a_zero_in_the_leaving_header_means_not_leaving(self):
-        self.assertIs(parse((b"server-leaving", b"0"), status=200), NO_WORDS)
+        self.assertIs(parse((b"server-leaving", b"0"), status=200), NO_PUSHBACK)
 
     def test_backoff_and_leaving_may_come_in_one_response(self):
         found = parse((b"server-leaving", b"1"), (b"retry-after", b"2"))
-        self.assertEqual(found, ServerWords(2_000, True))
+        self.assertEqual(found, PushbackHeaders(2_000, True))
 
     def test_a_response_without_pushback_headers_has_no_pushback(self):
-        self.assertIs(parse((b"content-type", b"text/plain"), status=200), NO_WORDS)
+        self.assertIs(parse((b"content-type", b"text/plain"), status=200), NO_PUSHBACK)
 
 
 def parse_limit(*texts, **options):
@@ -121,7 +126,7 @@
             with self.subTest(text):
                 found = parse_limit(text)
                 self.assertIsNone(found.rate_limit_per_s)
-                self.assertTrue(found.names_limit)
+                self.assertTrue(found.has_limit_header)
 
     def test_the_lowest_of_several_limits_counts(self):
         self.assertEqual(parse_limit(b"3", b"1.5", b"soon").rate_limit_per_s, 1.5)
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -346,7 +346,7 @@
     Guard(
         "an older word brings no limit back",
         "pushback/_limits.py",
-        "limit.heard_at_ms < known.heard_at_ms",
+        "limit.received_at_ms < known.received_at_ms",
         "False",
         LIMIT_TESTS,
     ),
