--- a/bench/allowances.py
+++ b/bench/allowances.py
@@ -26,7 +26,7 @@
     RouteSheet,
 )
 from cinderway.control import _allowances
-from cinderway.control._account_tokens import Standing
+from cinderway.control._account_tokens import VotingStatus
 from cinderway.control._allowances import Allowances
 from cinderway.limits import AllowanceLease, AllowanceRules, TokenGrant
 
@@ -99,10 +99,10 @@
         machine = _Machine(addresses, self.row)
         self.replicas = {}
         self.calls = _Calls(self.replicas)
-        standing = Standing(True, len(addresses))
+        voting_status = VotingStatus(True, len(addresses))
         for a in addresses:
             self.replicas[a] = Allowances(
-                a, machine, self.calls, RULES, lambda: standing
+                a, machine, self.calls, RULES, lambda: voting_status
             )
         self.leases = [AllowanceLease(window_ms=WINDOW_MS) for _ in range(ENTRIES)]
         self.own_used_at_ms = [deque() for _ in range(ENTRIES)]
--- a/src/cinderway/_cli/_servers.py
+++ b/src/cinderway/_cli/_servers.py
@@ -32,7 +32,7 @@
     """Return one line's columns."""
     return [
         server.server_id,
-        server.told_id,
+        server.reported_id,
         _time_text(server.started_at_ms),
         server.service,
         server.data_hall,
--- a/src/cinderway/_cli/_table.py
+++ b/src/cinderway/_cli/_table.py
@@ -22,6 +22,7 @@
     Change,
     Edit,
     EditAnswer,
+    EditOutcome,
     ReadStatus,
     ReadTable,
     RemoveReplica,
@@ -31,7 +32,6 @@
     SubmitEdit,
     Table,
     TableAnswer,
-    Verdict,
     allowed_values,
     changes_from_csv,
     export_csv,
@@ -236,7 +236,7 @@
     except CinderwayError as error:
         print(f"no answer; resend with {resend}", file=sys.stderr)
         raise error
-    if answer.verdict is Verdict.ACCEPTED:
+    if answer.verdict is EditOutcome.ACCEPTED:
         print(f"accepted at revision {answer.revision}")
         return
     print(f"refused: [{answer.code}] {answer.detail}", file=sys.stderr)
--- a/src/cinderway/catalog/_registry.py
+++ b/src/cinderway/catalog/_registry.py
@@ -64,7 +64,7 @@
     first_id: ServerName = ServerName("")
 
     @property
-    def told_id(self) -> ServerName:
+    def reported_id(self) -> ServerName:
         """The id under which the server reports itself."""
         return self.first_id or self.server_id
 
@@ -271,11 +271,11 @@
             self._record_newest_start(server)
 
     def _record_newest_start(self, server: RegisteredServer) -> None:
-        previous = self.newest.get(server.told_id)
+        previous = self.newest.get(server.reported_id)
         number = previous.number if previous is not None else 0
         if previous is None or previous.name != server.server_id:
             number += 1
-        self.newest[server.told_id] = NewestStart(
+        self.newest[server.reported_id] = NewestStart(
             server.server_id, server.started_at_ms, number
         )
 
--- a/src/cinderway/control/_account_tokens.py
+++ b/src/cinderway/control/_account_tokens.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class VotingStatus:
     """Whether this replica votes, and how many voters share the allowances."""
 
     is_voter: bool
--- a/src/cinderway/control/_allowances.py
+++ b/src/cinderway/control/_allowances.py
@@ -32,7 +32,7 @@
     REBORROW_PERIOD_MS,
     AccountTokens,
     Loan,
-    Standing,
+    VotingStatus,
 )
 from cinderway.control._commands import ReplicaCalls
 from cinderway.limits import AllowancePool, AllowanceRules, TokenGrant, TokenRequest
@@ -71,7 +71,7 @@
     machine: CatalogMachine
     calls: ReplicaCalls
     rules: AllowanceRules
-    standing: Callable[[], Standing]
+    voting_status: Callable[[], VotingStatus]
     _accounts: dict[AccountName, AccountTokens] = field(default_factory=dict)
     _rows: dict[AccountName, AccountRow] = field(default_factory=dict)
     _rows_sheet: RouteSheet | None = None
@@ -238,7 +238,7 @@
         return self.rules.limit(row.rate_per_s, row.burst or 0.0)
 
     def _share_of(self, row: AccountRow) -> float:
-        return self._limit_of(row) * self.standing().share
+        return self._limit_of(row) * self.voting_status().share
 
     # Borrowing.
 
--- a/src/cinderway/control/_catalog_daemon.py
+++ b/src/cinderway/control/_catalog_daemon.py
@@ -19,7 +19,7 @@
 from cinderway._settings import CatalogControlSettings
 from cinderway._settings_watch import SettingsWatch
 from cinderway.catalog import AnnounceReplica, CatalogMachine
-from cinderway.control._account_tokens import Standing
+from cinderway.control._account_tokens import VotingStatus
 from cinderway.control._allowances import Allowances
 from cinderway.control._catalog_http import CatalogHttp
 from cinderway.control._catalog_service import CatalogService
@@ -133,9 +133,9 @@
     )
 
 
-def _voting_status(node: Node) -> Standing:
+def _voting_status(node: Node) -> VotingStatus:
     voters = node.core.membership.voters
-    return Standing(node.core.replica_id in voters, len(voters))
+    return VotingStatus(node.core.replica_id in voters, len(voters))
 
 
 def _apply_seeds(node: Node, settings: CatalogControlSettings) -> None:
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -27,11 +27,11 @@
     Capacity,
     ServerEvidence,
     ServerRecord,
+    ServerStanding,
     ServiceJudge,
-    Standing,
     Suspicions,
-    floor_slots_of,
-    is_out,
+    compute_floor_slots,
+    is_withdrawn,
     permitted_ejections,
 )
 from cinderway.table import Bias, ServiceRow
@@ -111,7 +111,7 @@
         A server that is no longer suspect is listed with no time left.
         """
         found, self._new_suspects = self._new_suspects, {}
-        self._suspicions.forget_old(now_ms)
+        self._suspicions.drop_expired(now_ms)
         if not found:
             return None
         remaining_ms = [max(until_ms - now_ms, 0) for until_ms in found.values()]
@@ -153,8 +153,8 @@
         servers = _servers_of(catalog, service)
         judge.decide(row, servers.keys(), now_ms)
         records = judge.records()
-        suspected = [r for r in records if r.standing is not Standing.HEALTHY]
-        healthy = [r for r in records if r.standing is Standing.HEALTHY]
+        suspected = [r for r in records if r.standing is not ServerStanding.HEALTHY]
+        healthy = [r for r in records if r.standing is ServerStanding.HEALTHY]
         permitted = _permitted_ejections(row, servers, suspected)
         for record in suspected:
             is_ejected = record.name in permitted
@@ -164,7 +164,7 @@
             _add_line(lines, line, record.halls)
         for record in healthy:
             self._log_ejection_change(service, record, is_ejected=False)
-            share = judge.pace_share(record, now_ms)
+            share = judge.slow_server_share(record, now_ms)
             self._log_pace_change(service, record, share)
             if share < 1:
                 line = VerdictLine(service, record.name, False, share, SLOW, 0.0)
@@ -254,7 +254,7 @@
     suspected: list[ServerRecord],
 ) -> Collection[ServerName]:
     """Return the servers that may be ejected without falling below the floor."""
-    condemned = {r.name: r.score for r in suspected if is_out(r.standing)}
+    condemned = {r.name: r.score for r in suspected if is_withdrawn(r.standing)}
     capacities = [
         Capacity(
             server.server_id,
@@ -266,7 +266,7 @@
         for server in servers.values()
     ]
     slots = sum(c.slots for c in capacities if c.is_available)
-    return permitted_ejections(capacities, floor_slots_of(row, slots))
+    return permitted_ejections(capacities, compute_floor_slots(row, slots))
 
 
 def _build_line(
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_news.py
@@ -26,7 +26,7 @@
 from cinderway.control._follower import Follower
 from cinderway.control._in_flight import InFlightCounts
 from cinderway.control._tellings import BestEffortSender
-from cinderway.judgement import FADES_MS
+from cinderway.judgement import SUSPICION_MS
 
 # A suspicion decays from its first moment on; sent much later it is worth little.
 REPLICA_SEND_TIMEOUT_S = 0.3
@@ -266,10 +266,10 @@
 
 
 def _limit_for_other_halls(suspects: SuspectServers) -> SuspectServers:
-    """Shorten suspicions for other halls to FADES_MS at most.
+    """Shorten suspicions for other halls to SUSPICION_MS at most.
 
     A server may be unreachable from this hall alone; then other halls must not avoid it
     for long.
     """
-    for_ms = [min(remaining_ms, FADES_MS) for remaining_ms in suspects.for_ms]
+    for_ms = [min(remaining_ms, SUSPICION_MS) for remaining_ms in suspects.for_ms]
     return SuspectServers(suspects.servers, for_ms)
--- a/src/cinderway/control/_poison_store.py
+++ b/src/cinderway/control/_poison_store.py
@@ -16,7 +16,7 @@
 from cinderway.catalog import AllowRequest, CatalogMachine, Command, RefuseRequest
 from cinderway.control._commands import Commands
 from cinderway.control._poison_news import PoisonGossip
-from cinderway.poison import REMEMBERED_MS, Ruling, Standing
+from cinderway.poison import END_MEMORY_MS, RequestStanding, Ruling
 from cinderway.replication import Node
 
 logger = logging.getLogger(__name__)
@@ -75,10 +75,10 @@
         stored_round = stored.round_number if stored else 0
         if not ruling.standing.is_sent and ruling.round_number > stored_round:
             yield _build_refusal(ruling, now_ms, wall_ms)
-        elif ruling.standing is Standing.CLEARED and stored is not None:
+        elif ruling.standing is RequestStanding.CLEARED and stored is not None:
             yield AllowRequest(ruling.digest)
     for stored in list(machine.refused.values()):
-        if wall_ms >= stored.until_ms + REMEMBERED_MS:
+        if wall_ms >= stored.until_ms + END_MEMORY_MS:
             yield AllowRequest(stored.digest)
 
 
@@ -86,7 +86,7 @@
     """Return the ruling for a stored refusal, with times by this process's clock."""
     return Ruling(
         refused.digest,
-        Standing.BARRED if refused.is_barred else Standing.REFUSED,
+        RequestStanding.BARRED if refused.is_barred else RequestStanding.REFUSED,
         refused.round_number,
         now_ms + refused.until_ms - wall_ms,
         now_ms,
@@ -102,5 +102,5 @@
         wall_ms + ruling.until_ms - now_ms,
         list(ruling.servers),
         ruling.refusals,
-        ruling.standing is Standing.BARRED,
+        ruling.standing is RequestStanding.BARRED,
     )
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -22,7 +22,7 @@
     ServerLimits,
     ServerPushback,
 )
-from cinderway.routing import RouteTable, faded_load
+from cinderway.routing import RouteTable, decayed_load
 from cinderway.table import ServerRow, ServiceRow, Table
 
 
@@ -38,7 +38,7 @@
     # since then.
     known_load: float = 0.0
     load_known_at_ms: int = 0
-    tells_load: bool = False
+    reports_load: bool = False
     # Pushback that the server itself asked for, in answers to this entry or to others.
     pushback: ServerPushback = field(default_factory=ServerPushback)
     is_listed_leaving: bool = False
@@ -60,11 +60,11 @@
         the entries' requests in flight still count in full.
         """
         in_flight = self.fleet_in_flight / self.row.slots
-        return max(self.told_load_at(now_ms), in_flight)
+        return max(self.reported_load_at(now_ms), in_flight)
 
-    def told_load_at(self, now_ms: int) -> float:
+    def reported_load_at(self, now_ms: int) -> float:
         """Return the last reported load, decayed by age, as a share of the slots."""
-        return faded_load(self.known_load, now_ms - self.load_known_at_ms)
+        return decayed_load(self.known_load, now_ms - self.load_known_at_ms)
 
     def begin_request(self) -> None:
         """Count a request that is sent to the server."""
@@ -81,16 +81,16 @@
         """Record a load that was reported by the server or by another entry."""
         self.known_load = load
         self.load_known_at_ms = now_ms
-        self.tells_load = True
+        self.reports_load = True
 
-    def takes_work(self, now_ms: int) -> bool:
+    def accepts_requests(self, now_ms: int) -> bool:
         """Whether the server accepts new requests, regardless of ejection.
 
         The first source to say that the server is leaving decides: its own signal, the
         platform's list, or the operator's setting in the table.
         """
         return (
-            self.row.takes_work
+            self.row.accepts_requests
             and not self.pushback.has_announced_leaving(now_ms)
             and not self.is_listed_leaving
         )
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -28,10 +28,10 @@
 from cinderway.entry._blackboard import Blackboard, ServerState
 from cinderway.entry._poison_watch import PoisonWatch
 from cinderway.judgement import (
-    FADES_MS,
-    UNDER_WAY_MS,
-    Bad,
+    IN_FLIGHT_MS,
+    SUSPICION_MS,
     EvidenceLog,
+    FailureKind,
     Pace,
     Suspicions,
 )
@@ -108,7 +108,7 @@
         """Wake the task that reports evidence."""
         self.activity.set()
 
-    def record_alarm(self, server: ServerName, kind: Bad) -> None:
+    def record_alarm(self, server: ServerName, kind: FailureKind) -> None:
         """Suspect a server that failed a request of this entry or is late with one."""
         until_ms = self._suspicions.record_alarm(server, kind, monotonic_ms())
         if until_ms is not None:
@@ -158,7 +158,7 @@
 
         Such a server is idle and reports a low load: by load alone every entry would
         choose it first, and requests would be refused while other servers have free
-        slots. The suspicion lasts FADES_MS, whatever pause the server asked this
+        slots. The suspicion lasts SUSPICION_MS, whatever pause the server asked this
         entry for: what it asked of one entry is only a hint to the others, and a
         server that asks every entry for an hour stays in use.
         Nothing is reported if the hall learned of the server a moment ago, so that
@@ -166,8 +166,8 @@
         the number of requests that they reject.
         """
         state = self._find_server(server)
-        until_ms = monotonic_ms() + FADES_MS
-        if state is None or until_ms < state.suspect_until_ms + UNDER_WAY_MS:
+        until_ms = monotonic_ms() + SUSPICION_MS
+        if state is None or until_ms < state.suspect_until_ms + IN_FLIGHT_MS:
             return
         self.suspect(server, until_ms)
         self._unreported_suspects[server] = self._unreported_rejections[server] = (
@@ -183,7 +183,7 @@
             self.has_rejections = anyio.Event()
         return _build_suspects(found, now_ms)
 
-    def follow_anew(self) -> None:
+    def reset_for_new_replica(self) -> None:
         """Prepare for another control replica.
 
         Forgets the requests that other entries have in flight, and queues all servers
@@ -325,7 +325,7 @@
 
 
 def _build_server_load(server: ServerState, now_ms: int) -> ServerLoad:
-    load = server.told_load_at(now_ms) if server.tells_load else NO_LOAD
+    load = server.reported_load_at(now_ms) if server.reports_load else NO_LOAD
     return ServerLoad(server.row.name, load, server.in_flight)
 
 
@@ -343,15 +343,15 @@
 class _RegisteredRow(ServerRow):
     """A row named after one start of a server, not by the server's own name.
 
-    `told_id` is the name that the server registered with.
+    `reported_id` is the name that the server registered with.
     """
 
-    told_id: ServerName = ServerName("")
+    reported_id: ServerName = ServerName("")
 
     @property
-    def own_name(self) -> ServerName:
+    def expected_name(self) -> ServerName:
         """The name that the server uses for itself."""
-        return self.told_id
+        return self.reported_id
 
 
 def _build_row(server: RegisteredServer, connection_limit: int) -> ServerRow:
@@ -364,5 +364,5 @@
         slots=server.slots,
         connection_limit=connection_limit,
         state=ListedState.LEAVING if is_leaving else ListedState.ACTIVE,
-        told_id=server.told_id,
+        reported_id=server.reported_id,
     )
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -75,7 +75,7 @@
                 settings.peers_listen,
                 settings.shared_key,
                 lambda: not follower.is_following,
-                follower.wait_alone,
+                follower.wait_disconnected,
             )
             tasks.start_soon(keep_running, "hall peers", peers.run)
         await tasks.start(
--- a/src/cinderway/entry/_daemon.py
+++ b/src/cinderway/entry/_daemon.py
@@ -24,7 +24,7 @@
 from cinderway.entry.servers._backends import BackendConnections
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._probe import Prober
-from cinderway.judgement import DRAIN_VALID_MS, EvidenceLog
+from cinderway.judgement import DRAIN_SIGNAL_TTL_MS, EvidenceLog
 from cinderway.ledger import LedgerClient
 from cinderway.pushback import PushbackStore
 from cinderway.wire import Identity, serve_connections
@@ -40,7 +40,7 @@
     configure_logging(settings.log_format, settings.log_level)
     # In the table a server keeps its name after a restart, so that its leaving signal
     # must expire sooner than by default.
-    pushback = PushbackStore(leaving_valid_ms=DRAIN_VALID_MS)
+    pushback = PushbackStore(leaving_valid_ms=DRAIN_SIGNAL_TTL_MS)
     board = Blackboard(
         settings.name, settings.data_hall, random.Random(), pushback=pushback
     )
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -19,8 +19,8 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
+    RequestStanding,
     Ruling,
-    Standing,
 )
 
 logger = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
         costs one server fewer.
         """
         standing = self.tally.standing_of(digest, monotonic_ms())
-        return standing.is_sent and standing is not Standing.WATCHED
+        return standing.is_sent and standing is not RequestStanding.WATCHED
 
     def record_broken_run(self, digest: RequestDigest, server: ServerName) -> None:
         """Record that a server ended while it was running a request."""
@@ -74,7 +74,7 @@
         if len(self._answered_at_ms) >= ANSWERED_LIMIT:
             self._answered_at_ms.pop(next(iter(self._answered_at_ms)))
         self._answered_at_ms[digest] = now_ms
-        if self.tally.is_known(digest):
+        if self.tally.is_tracked(digest):
             self._queue_good_answer(digest, now_ms)
 
     def pop_runs(self) -> RequestRuns:
@@ -118,7 +118,10 @@
         if ruling is None:
             return
         answered_at_ms = self._answered_at_ms.get(ruling.digest)
-        is_restrictive = ruling.standing in (Standing.WATCHED, Standing.REFUSED)
+        is_restrictive = ruling.standing in (
+            RequestStanding.WATCHED,
+            RequestStanding.REFUSED,
+        )
         if is_restrictive and answered_at_ms is not None:
             # Reads that callers repeat all the time are in flight on every server that
             # ends: they would be refused together with the request that ends it.
--- a/src/cinderway/entry/callers/_relay.py
+++ b/src/cinderway/entry/callers/_relay.py
@@ -14,7 +14,7 @@
     BackendRequest,
     Headers,
 )
-from cinderway.judgement import Bad
+from cinderway.judgement import FailureKind
 from cinderway.pushback import RETRY_AFTER, UNAVAILABLE
 
 OK = 200
@@ -53,13 +53,13 @@
                     exchange.attempt, len(chunk), monotonic_ms()
                 )
     except TimeoutError as error:
-        dispatcher.evidence.record_failure(exchange.attempt, Bad.OVERDUE)
+        dispatcher.evidence.record_failure(exchange.attempt, FailureKind.OVERDUE)
         raise _build_cut_error(
             exchange, "the body did not end before the deadline"
         ) from error
     except CinderwayError as error:
         if error.code is ErrorCode.ANSWER_CUT_SHORT:
-            dispatcher.evidence.record_failure(exchange.attempt, Bad.CUT)
+            dispatcher.evidence.record_failure(exchange.attempt, FailureKind.CUT)
             exchange.record_broken_connection()
         raise
     body = b"".join(parts)
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -24,7 +24,7 @@
 )
 from cinderway.entry.servers._permit import UNLIMITED, Permit
 from cinderway.poison import RequestDigests
-from cinderway.routing import USUAL_PENALTIES, Penalties, RouteMatch
+from cinderway.routing import DEFAULT_PENALTIES, Penalties, RouteMatch
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 KEY_HEADER = b"idempotency-key"
@@ -85,7 +85,7 @@
     # Decides whether the request may be sent, and sent again.
     permit: Permit = UNLIMITED
     # Penalties by which servers are compared when one is chosen for the request.
-    penalties: Penalties = USUAL_PENALTIES
+    penalties: Penalties = DEFAULT_PENALTIES
 
     def header(self, name: bytes) -> bytes | None:
         """Return a header's value, or None."""
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -16,7 +16,7 @@
 from cinderway.entry.callers._reply import Reply
 from cinderway.entry.callers._requests import ATTEMPT_LIMIT, CallerRequest
 from cinderway.entry.servers._dispatch import Exchange
-from cinderway.judgement import Bad
+from cinderway.judgement import FailureKind
 
 
 @dataclass
@@ -93,7 +93,7 @@
         except CinderwayError:
             # Not recorded as a sign that the server ended: a download that breaks is
             # resumed at another server, as often as necessary.
-            evidence.record_failure(exchange.attempt, Bad.CUT)
+            evidence.record_failure(exchange.attempt, FailureKind.CUT)
             raise
         finally:
             await chunks.aclose()
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -154,7 +154,7 @@
         """Whether a control replica serves this entry now."""
         return self._connection is not None
 
-    async def wait_alone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once no control replica is followed."""
         await self._is_disconnected.wait()
 
@@ -233,7 +233,7 @@
             self._choice.find_hall(address) or "an unknown hall",
             known_revision,
         )
-        self.state.follow_anew()
+        self.state.reset_for_new_replica()
         failure: Exception | None = None
         # Retries credited to the local budget must not be spent on top of the shared
         # budget later.
@@ -257,7 +257,7 @@
             self._connection = None
             self._is_disconnected.set()
             self._requests.disconnect()
-            self.state.follow_anew()
+            self.state.reset_for_new_replica()
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
--- a/src/cinderway/entry/fleet/_catalog_reports.py
+++ b/src/cinderway/entry/fleet/_catalog_reports.py
@@ -13,7 +13,7 @@
 from cinderway._ids import DataHall, EntryName, ServiceName
 from cinderway.catalog import EvidenceBatch
 from cinderway.entry._catalog_board import CatalogBoard
-from cinderway.judgement import EvidenceLog, evidence_from
+from cinderway.judgement import EvidenceLog, build_evidence
 from cinderway.wire import Connection, Message
 
 logger = logging.getLogger(__name__)
@@ -108,7 +108,7 @@
 
     async def _send_evidence_batch(self, connection: Connection, counts: dict) -> None:
         found = [
-            evidence_from(service, server, seen)
+            build_evidence(service, server, seen)
             for (service, server), seen in counts.items()
         ]
         first, self.first_requests = self.first_requests, Counter()
--- a/src/cinderway/entry/fleet/_platform.py
+++ b/src/cinderway/entry/fleet/_platform.py
@@ -52,7 +52,7 @@
     """Apply the list to the board; None reverts its effects."""
     instances = listed.instances if listed else []
     names = frozenset(instance.name for instance in instances)
-    board.fleet.set_listed(names if listed else None)
+    board.fleet.apply_platform_list(names if listed else None)
     leaving = {i.address for i in instances if i.state is InstanceState.LEAVING}
     for service in board.services.values():
         for server in service.servers.values():
--- a/src/cinderway/entry/fleet/_replica_choice.py
+++ b/src/cinderway/entry/fleet/_replica_choice.py
@@ -4,7 +4,7 @@
 
 from cinderway._ids import Address, DataHall, EntryName
 from cinderway.catalog import ReplicaAddress
-from cinderway.routing import rank_of
+from cinderway.routing import rendezvous_rank
 
 # How long a replica that failed stays at the end of the order.
 AVOID_MS = 5_000
@@ -46,7 +46,7 @@
             # their evidence is assessed together.
             key = self.data_hall if is_home else self.entry
             is_avoided = self._is_avoided(address, now_ms)
-            return (is_avoided, not is_home, rank_of(key, address))
+            return (is_avoided, not is_home, rendezvous_rank(key, address))
 
         return sorted(addresses, key=rank)
 
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -10,7 +10,7 @@
     REPORT,
     EjectionEvent,
     EjectionsAnswer,
-    Happening,
+    EventKind,
     LevelCounter,
     LevelsAnswer,
     ReadLevels,
@@ -27,7 +27,7 @@
     at_ms: int
     service: ServiceName
     server: ServerName
-    what: Happening
+    what: EventKind
     reason: str
     score: float
 
@@ -56,7 +56,7 @@
         self,
         service: ServiceName,
         server: ServerName,
-        what: Happening,
+        what: EventKind,
         reason: str = "",
         score: float = 0.0,
     ) -> None:
--- a/src/cinderway/entry/fleet/_reporter.py
+++ b/src/cinderway/entry/fleet/_reporter.py
@@ -14,27 +14,27 @@
 from cinderway.entry.fleet._report_server import ReportServer
 from cinderway.judgement import (
     JUDGEMENT,
-    Agreed,
     Capacity,
     EvidenceLog,
     EvidenceReport,
     HeldSheet,
+    MergedVerdict,
     Pace,
     ServerEvidence,
     ServiceNormal,
     VerdictSheet,
     assessors_of,
-    evidence_from,
-    floor_slots_of,
+    build_evidence,
+    compute_floor_slots,
     group_of,
+    median_norms,
     merge_sheets,
     permitted_ejections,
-    service_norms,
     verdict_quorum,
 )
 from cinderway.poison import RequestRulings
 from cinderway.pushback import EntryGroup, ServerLimits
-from cinderway.reports import Happening
+from cinderway.reports import EventKind
 from cinderway.table import EntryReport
 from cinderway.wire import Connection, Identity, Message, connect
 
@@ -52,7 +52,7 @@
 # How late the end of a lease may be noticed; changes in a sheet are applied at once.
 APPLY_INTERVAL_MS = 200
 # How long a drain signal counts; an assessor repeats it with each sheet while it holds.
-DRAIN_VALID_MS = 2_000
+DRAIN_SIGNAL_TTL_MS = 2_000
 # The send times of this many reports are kept; sheets that answer an older report are
 # ignored.
 MAX_PENDING_REPORTS = 64
@@ -192,7 +192,7 @@
         by_group: dict[int, list[ServerEvidence]] = {}
         for (service, server), counts in self.evidence.pop_counts().items():
             group = by_group.setdefault(group_of(service), [])
-            group.append(evidence_from(service, server, counts))
+            group.append(build_evidence(service, server, counts))
         for key, link in list(self._links.items()):
             evidence = by_group.get(link.group, [])
             if evidence or now_ms - link.last_sent_at_ms >= IDLE_REPORT_INTERVAL_MS:
@@ -253,7 +253,7 @@
             ]
             quorum = verdict_quorum(len(assessors))
             agreed = merge_sheets(sheets, self.board.data_hall, quorum, now_ms)
-            for name, norm in service_norms(sheets).items():
+            for name, norm in median_norms(sheets).items():
                 self._apply_norm(name, norm)
             for name, service in self.board.services.items():
                 if group_of(name) == group:
@@ -286,7 +286,7 @@
             server.share *= compute_join_share(server, service, now_ms)
             server.probes_per_s = verdict.probes_per_s if verdict else 0.0
             if verdict and verdict.is_draining:
-                server.pushback.leave(now_ms + DRAIN_VALID_MS)
+                server.pushback.leave(now_ms + DRAIN_SIGNAL_TTL_MS)
             is_ejected = server_name in permitted
             if verdict and verdict.is_ejected and not is_ejected:
                 self._record_held(name, server, verdict)
@@ -304,9 +304,9 @@
     ) -> frozenset:
         capacities = []
         for name, server in service.servers.items():
-            verdict: Agreed | None = verdicts[name]
+            verdict: MergedVerdict | None = verdicts[name]
             is_cold = compute_join_share(server, service, now_ms) < 1
-            is_available = server.takes_work(now_ms)
+            is_available = server.accepts_requests(now_ms)
             capacities.append(
                 Capacity(
                     name,
@@ -319,12 +319,14 @@
         table_slots = sum(
             server.row.slots
             for server in service.servers.values()
-            if server.row.takes_work
+            if server.row.accepts_requests
+        )
+        return permitted_ejections(
+            capacities, compute_floor_slots(service.row, table_slots)
         )
-        return permitted_ejections(capacities, floor_slots_of(service.row, table_slots))
 
     def _record_held(
-        self, service: ServiceName, server: ServerState, verdict: Agreed
+        self, service: ServiceName, server: ServerState, verdict: MergedVerdict
     ) -> None:
         if server.is_held_by_floor:
             return
@@ -333,20 +335,20 @@
         self.reports.record_event(
             service,
             server.row.name,
-            Happening.HELD_BY_FLOOR,
+            EventKind.HELD_BY_FLOOR,
             verdict.reason,
             verdict.score,
         )
 
     def _record_change(
-        self, service: ServiceName, server: ServerState, verdict: Agreed | None
+        self, service: ServiceName, server: ServerState, verdict: MergedVerdict | None
     ) -> None:
         if server.is_ejected:
             self.ejections += 1
             self.reports.record_event(
                 service,
                 server.row.name,
-                Happening.EJECTED,
+                EventKind.EJECTED,
                 verdict.reason,
                 verdict.score,
             )
@@ -358,7 +360,7 @@
                 verdict.score,
             )
         else:
-            self.reports.record_event(service, server.row.name, Happening.TAKEN_BACK)
+            self.reports.record_event(service, server.row.name, EventKind.TAKEN_BACK)
             logger.info("reinstated %s/%s", service, server.row.name)
 
 
--- a/src/cinderway/entry/fleet/_table_follower.py
+++ b/src/cinderway/entry/fleet/_table_follower.py
@@ -101,7 +101,7 @@
     async def _gossip(self) -> None:
         while True:
             await anyio.sleep(GOSSIP_INTERVAL_S * (0.5 + self.board.rng.random()))
-            self.board.fleet.forget_gone(monotonic_ms())
+            self.board.fleet.drop_gone(monotonic_ms())
             peers = self._peer_addresses()
             if peers:
                 await self._fetch_from_peer(self.board.rng.choice(peers))
--- a/src/cinderway/entry/servers/_candidates.py
+++ b/src/cinderway/entry/servers/_candidates.py
@@ -6,7 +6,7 @@
 from cinderway._ids import DataHall, ServerName
 from cinderway.entry._blackboard import ServerState
 from cinderway.judgement import suspicion_left
-from cinderway.routing import Candidate, draw_few
+from cinderway.routing import Candidate, draw_sample
 
 # Share factor for a server that has just started, which takes about twice as long for
 # each request.
@@ -41,7 +41,7 @@
     """
     own = [server for server in free if server.row.data_hall == own_hall]
     others = [server for server in free if server.row.data_hall != own_hall]
-    sample = draw_few(own, rng) + draw_few(others, rng)
+    sample = draw_sample(own, rng) + draw_sample(others, rng)
     return build_candidates(sample, now_ms)
 
 
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -23,11 +23,11 @@
 from cinderway.judgement import (
     PIECE_BYTES,
     Attempt,
-    Bad,
     EvidenceLog,
+    FailureKind,
 )
 from cinderway.pushback import RateToken
-from cinderway.routing import USUAL_PENALTIES, Penalties
+from cinderway.routing import DEFAULT_PENALTIES, Penalties
 
 # After a shed, this entry sends the server nothing for about the time that one of its
 # slots stays occupied: the service time multiplied by this share plus a random number
@@ -85,7 +85,7 @@
         *,
         exclude: set[ServerName],
         is_repeatable: bool,
-        penalties: Penalties = USUAL_PENALTIES,
+        penalties: Penalties = DEFAULT_PENALTIES,
         objective_at_ms: int | None = None,
         permit: Permit = UNLIMITED,
     ) -> AsyncIterator[Exchange]:
@@ -201,11 +201,11 @@
                     outgoing.attempt_id,
                     deadline_ms,
                     fresh=is_fresh,
-                    expected=server.row.own_name,
+                    expected=server.row.expected_name,
                     objection=lambda: _check_before_write(outgoing, permit),
                 )
         except TimeoutError as error:
-            self.evidence.record_failure(attempt, Bad.OVERDUE)
+            self.evidence.record_failure(attempt, FailureKind.OVERDUE)
             raise CinderwayError(
                 ErrorCode.DEADLINE_PASSED,
                 "no response before the deadline",
@@ -220,7 +220,7 @@
                 self.notes.record_held_back(outgoing, error)
                 raise
             is_unreachable = error.step is Step.CONNECT
-            kind = Bad.UNREACHABLE if is_unreachable else Bad.CUT
+            kind = FailureKind.UNREACHABLE if is_unreachable else FailureKind.CUT
             self.evidence.record_failure(attempt, kind)
             if isinstance(error, ConnectionLostError):
                 run_ms = monotonic_ms() - attempt.piece_started_at_ms
--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_holds.py
@@ -28,7 +28,7 @@
             f"its requested backoff has {left_ms} ms left",
         )
     is_listed = service.servers.get(server.row.name) is server
-    if not is_listed or not server.takes_work(now_ms):
+    if not is_listed or not server.accepts_requests(now_ms):
         return _build_error(
             server, ErrorCode.BACKEND_LEAVES, "it accepts no new requests"
         )
@@ -37,7 +37,7 @@
 
 def can_accept(server: ServerState, now_ms: int) -> bool:
     """Whether a listed server accepts new requests, regardless of ejection."""
-    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)
+    return server.accepts_requests(now_ms) and server.pushback.can_accept(now_ms)
 
 
 def check_rate_limit(
@@ -71,7 +71,7 @@
     available = [
         server
         for server in service.servers.values()
-        if server.takes_work(now_ms) and not server.is_ejected
+        if server.accepts_requests(now_ms) and not server.is_ejected
     ]
     until_ms = max(now_ms, give_up_at_ms)
     capacity = sum(
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -47,8 +47,8 @@
 
     def send(self, server: ServerState, now_ms: int) -> None:
         """Count a request at once, before the server's next load report includes it."""
-        if server.tells_load:
-            load = server.told_load_at(now_ms) + 1 / server.row.slots
+        if server.reports_load:
+            load = server.reported_load_at(now_ms) + 1 / server.row.slots
             server.record_load(load, now_ms)
         server.begin_request()
         self._announce_load(server)
--- a/src/cinderway/entry/servers/_probe.py
+++ b/src/cinderway/entry/servers/_probe.py
@@ -13,7 +13,7 @@
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._holds import can_accept
 from cinderway.entry.servers._messages import BackendRequest
-from cinderway.routing import rank_of
+from cinderway.routing import rendezvous_rank
 
 logger = logging.getLogger(__name__)
 
@@ -89,8 +89,8 @@
         return not is_first and self._is_assigned_prober(server, live)
 
     def _is_assigned_prober(self, server: ServerState, live: list[EntryName]) -> bool:
-        own_rank = rank_of(server.row.name, self.board.name)
-        return all(rank_of(server.row.name, name) <= own_rank for name in live)
+        own_rank = rendezvous_rank(server.row.name, self.board.name)
+        return all(rendezvous_rank(server.row.name, name) <= own_rank for name in live)
 
     async def _probe(self, service: ServiceState, server: ServerState) -> None:
         evidence = self.dispatcher.evidence
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -27,7 +27,7 @@
 from cinderway.entry.servers._permit import Permit
 from cinderway.judgement import EvidenceLog
 from cinderway.limits import expected_answer_ms, is_hopeless, plan_connections
-from cinderway.routing import Candidate, Penalties, choose, own_subset
+from cinderway.routing import Candidate, Penalties, choose_server, connection_subset
 
 
 @dataclass(frozen=True)
@@ -132,7 +132,7 @@
         )
         if not timely:
             raise self._build_queue_full_error(service, free, wanted, now_ms)
-        return choose(timely, own_hall, rng, penalties=wanted.penalties)
+        return choose_server(timely, own_hall, rng, penalties=wanted.penalties)
 
     def _filter_timely(
         self,
@@ -193,7 +193,7 @@
         chosen = usable
         if plan.subset_size < len(usable):
             names = {server.row.name for server in usable}
-            subset_names = own_subset(self.board.name, names, plan.subset_size)
+            subset_names = connection_subset(self.board.name, names, plan.subset_size)
             chosen = [server for server in usable if server.row.name in subset_names]
         return [(server, min(server.row.slots, plan.per_entry)) for server in chosen]
 
--- a/src/cinderway/judgement/__init__.py
+++ b/src/cinderway/judgement/__init__.py
@@ -11,41 +11,50 @@
     JUDGEMENT,
     EvidenceReport,
     ServerEvidence,
+    ServerStanding,
     ServerVerdict,
     ServiceNormal,
-    Standing,
     VerdictSheet,
-    evidence_from,
+    build_evidence,
 )
 from cinderway.judgement._evidence import (
     PIECE_BYTES,
     Attempt,
-    Bad,
     EvidenceLog,
+    FailureKind,
     Pace,
     ServerCounts,
 )
-from cinderway.judgement._floor import Capacity, floor_slots_of, permitted_ejections
-from cinderway.judgement._judge import DRAIN_VALID_MS, ServiceJudge
-from cinderway.judgement._merge import Agreed, HeldSheet, merge_sheets, service_norms
-from cinderway.judgement._record import ServerRecord, is_out
+from cinderway.judgement._floor import (
+    Capacity,
+    compute_floor_slots,
+    permitted_ejections,
+)
+from cinderway.judgement._judge import DRAIN_SIGNAL_TTL_MS, ServiceJudge
+from cinderway.judgement._merge import (
+    HeldSheet,
+    MergedVerdict,
+    median_norms,
+    merge_sheets,
+)
+from cinderway.judgement._record import ServerRecord, is_withdrawn
 from cinderway.judgement._suspicion import (
-    FADES_MS,
-    UNDER_WAY_MS,
+    IN_FLIGHT_MS,
+    SUSPICION_MS,
     Suspicions,
     suspicion_left,
 )
 
 __all__ = [
-    "DRAIN_VALID_MS",
-    "FADES_MS",
+    "DRAIN_SIGNAL_TTL_MS",
+    "SUSPICION_MS",
     "GROUP_COUNT",
     "JUDGEMENT",
     "PIECE_BYTES",
-    "Agreed",
+    "MergedVerdict",
     "Assessor",
     "Attempt",
-    "Bad",
+    "FailureKind",
     "Capacity",
     "EvidenceLog",
     "EvidenceReport",
@@ -59,18 +68,18 @@
     "ServerVerdict",
     "ServiceJudge",
     "ServiceNormal",
-    "Standing",
+    "ServerStanding",
     "Suspicions",
-    "UNDER_WAY_MS",
+    "IN_FLIGHT_MS",
     "VerdictSheet",
     "assessors_of",
-    "evidence_from",
-    "floor_slots_of",
+    "build_evidence",
+    "compute_floor_slots",
     "group_of",
-    "is_out",
+    "is_withdrawn",
     "merge_sheets",
     "permitted_ejections",
-    "service_norms",
+    "median_norms",
     "suspicion_left",
     "verdict_quorum",
 ]
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -11,14 +11,18 @@
 from cinderway.judgement._assignment import group_of
 from cinderway.judgement._conversation import (
     EvidenceReport,
+    ServerStanding,
     ServerVerdict,
     ServiceNormal,
-    Standing,
     VerdictSheet,
 )
-from cinderway.judgement._floor import Capacity, floor_slots_of, permitted_ejections
+from cinderway.judgement._floor import (
+    Capacity,
+    compute_floor_slots,
+    permitted_ejections,
+)
 from cinderway.judgement._judge import Reporter, ServiceJudge
-from cinderway.judgement._record import ServerRecord, is_out
+from cinderway.judgement._record import ServerRecord, is_withdrawn
 from cinderway.table import ServiceRow, Table
 
 # Older reports are dropped: another server may have the address by now.
@@ -122,7 +126,7 @@
         for record in records:
             probes_per_s = judge.probes_per_s(record, service)
             is_draining = now_ms < record.draining_until_ms
-            is_healthy = record.standing is Standing.HEALTHY
+            is_healthy = record.standing is ServerStanding.HEALTHY
             if is_healthy and not probes_per_s and not is_draining:
                 continue
             verdicts.append(
@@ -136,7 +140,7 @@
                     share=judge.share(record, service, now_ms),
                     probes_per_s=probes_per_s,
                     reason=record.reason,
-                    is_held_by_floor=is_out(record.standing)
+                    is_held_by_floor=is_withdrawn(record.standing)
                     and record.name not in permitted,
                     is_draining=is_draining,
                 )
@@ -147,19 +151,21 @@
         self, records: list[ServerRecord], service: ServiceRow, table: Table
     ) -> frozenset[ServerName]:
         servers = table.servers_of(service.name)
-        condemned = {r.name: r.score for r in records if is_out(r.standing)}
+        condemned = {r.name: r.score for r in records if is_withdrawn(r.standing)}
         capacities = [
             Capacity(
                 row.name,
                 row.slots,
-                row.takes_work,
+                row.accepts_requests,
                 row.name in condemned,
                 condemned.get(row.name, 0.0),
             )
             for row in servers.values()
         ]
-        table_slots = sum(row.slots for row in servers.values() if row.takes_work)
-        return permitted_ejections(capacities, floor_slots_of(service, table_slots))
+        table_slots = sum(row.slots for row in servers.values() if row.accepts_requests)
+        return permitted_ejections(
+            capacities, compute_floor_slots(service, table_slots)
+        )
 
 
 @dataclass
--- a/src/cinderway/judgement/_conversation.py
+++ b/src/cinderway/judgement/_conversation.py
@@ -3,13 +3,13 @@
 from enum import Enum
 
 from cinderway._ids import DataHall, EntryName, ServerName, ServiceName
-from cinderway.judgement._evidence import Bad, ServerCounts
+from cinderway.judgement._evidence import FailureKind, ServerCounts
 from cinderway.poison import RequestRulings, RequestRuns
 from cinderway.pushback import ServerLimits
 from cinderway.wire import Conversation, Message
 
 
-class Standing(Enum):
+class ServerStanding(Enum):
     """An assessor's classification of a backend server.
 
     EJECTED and PROBING servers get no callers' requests. A TRIAL server gets a small
@@ -47,21 +47,21 @@
         """Number of bad observations of all kinds."""
         return self.error + self.unreachable + self.cut + self.slow + self.overdue
 
-    def main_alarm(self) -> Bad | None:
+    def main_alarm(self) -> FailureKind | None:
         """The strongest kind of alarm in this evidence, or None if there is none.
 
         ERROR and CUT come before UNREACHABLE: a server that failed a request is known
         to be running, whereas one that was only unreachable may be gone.
         """
         if self.error or self.cut:
-            return Bad.ERROR
+            return FailureKind.ERROR
         if self.unreachable:
-            return Bad.UNREACHABLE
-        return Bad.OVERDUE if self.overdue else None
+            return FailureKind.UNREACHABLE
+        return FailureKind.OVERDUE if self.overdue else None
 
-    def main_reason(self) -> Bad:
+    def main_reason(self) -> FailureKind:
         """The most frequent kind of bad observation."""
-        return max(Bad, key=lambda kind: getattr(self, kind.value))
+        return max(FailureKind, key=lambda kind: getattr(self, kind.value))
 
 
 class EvidenceReport(Message, frozen=True):
@@ -101,7 +101,7 @@
 
     service: ServiceName
     server: ServerName
-    standing: Standing
+    standing: ServerStanding
     halls: list[DataHall]
     lease_ms: int
     score: float
@@ -130,7 +130,7 @@
 )
 
 
-def evidence_from(
+def build_evidence(
     service: ServiceName, server: ServerName, counts: ServerCounts
 ) -> ServerEvidence:
     """Return an entry's counts of one server as a part of an evidence report."""
--- a/src/cinderway/judgement/_evidence.py
+++ b/src/cinderway/judgement/_evidence.py
@@ -32,7 +32,7 @@
 OVERDUE_LIMIT = 3
 
 
-class Bad(Enum):
+class FailureKind(Enum):
     """The reason why an observation is bad."""
 
     ERROR = "error"
@@ -45,7 +45,9 @@
 # The kinds that make a server suspect at once. A slow answer does not: under load it
 # tells more about the service than about the server. An overdue request does, because a
 # server that hangs never answers with an error.
-ALARMS = frozenset({Bad.ERROR, Bad.UNREACHABLE, Bad.CUT, Bad.OVERDUE})
+ALARMS = frozenset(
+    {FailureKind.ERROR, FailureKind.UNREACHABLE, FailureKind.CUT, FailureKind.OVERDUE}
+)
 
 
 @dataclass
@@ -53,7 +55,7 @@
     """Counts of one server's observations since the last report."""
 
     good: int = 0
-    bad: dict[Bad, int] = field(default_factory=dict)
+    bad: dict[FailureKind, int] = field(default_factory=dict)
     time_sum_ms: float = 0.0
     time_count: int = 0
     answer_times_ms: list[int] = field(default_factory=list)
@@ -132,7 +134,7 @@
         self._paces: dict[ServiceName, Pace] = {}
         self._assumed_paces: dict[ServiceName, Pace] = {}
         # Called with the server and the kind of each observation in ALARMS.
-        self.on_alarm: Callable[[ServerName, Bad], None] | None = None
+        self.on_alarm: Callable[[ServerName, FailureKind], None] | None = None
         # Called with the server that answers an overdue request: it was slow but does
         # not hang.
         self.on_late_answer: Callable[[ServerName], None] | None = None
@@ -181,7 +183,7 @@
     def record_first_byte(self, attempt: Attempt, status: int, now_ms: int) -> None:
         """Record the arrival of an answer's head."""
         if status >= 500:
-            self._record_bad(attempt, Bad.ERROR)
+            self._record_bad(attempt, FailureKind.ERROR)
         else:
             counts = self._counts_of(attempt)
             counts.answer_times_ms.append(max(now_ms - attempt.piece_started_at_ms, 0))
@@ -210,7 +212,7 @@
         """Exclude time during which the caller, not the server, blocked the stream."""
         attempt.piece_started_at_ms += blocked_ms
 
-    def record_failure(self, attempt: Attempt, kind: Bad) -> None:
+    def record_failure(self, attempt: Attempt, kind: FailureKind) -> None:
         """Record that the attempt failed; an overdue one is not counted again."""
         if not attempt.is_piece_overdue:
             self._record_bad(attempt, kind)
@@ -226,7 +228,7 @@
             if now_ms >= self._late_at_ms(attempt):
                 attempt.overdue_count += 1
                 attempt.is_piece_overdue = True
-                self._record_bad(attempt, Bad.OVERDUE)
+                self._record_bad(attempt, FailureKind.OVERDUE)
 
     def next_late_at_ms(self) -> float:
         """Time at which the next request becomes overdue; infinite if there is none."""
@@ -263,7 +265,7 @@
         if attempt.is_piece_overdue:
             return
         if duration_ms > self.late_after_ms(attempt.service):
-            self._record_bad(attempt, Bad.SLOW)
+            self._record_bad(attempt, FailureKind.SLOW)
         else:
             counts.good += 1
 
@@ -278,7 +280,7 @@
         attempt.overdue_count = 0
         attempt.is_piece_overdue = False
 
-    def _record_bad(self, attempt: Attempt, kind: Bad) -> None:
+    def _record_bad(self, attempt: Attempt, kind: FailureKind) -> None:
         bad = self._counts_of(attempt).bad
         bad[kind] = bad.get(kind, 0) + 1
         if self.on_alarm is not None and kind in ALARMS:
--- a/src/cinderway/judgement/_floor.py
+++ b/src/cinderway/judgement/_floor.py
@@ -26,7 +26,7 @@
     score: float
 
 
-def floor_slots_of(service: ServiceRow, table_slots: int) -> int:
+def compute_floor_slots(service: ServiceRow, table_slots: int) -> int:
     """Return the floor in slots: the larger of the service's two floor settings."""
     share_slots = math.ceil(table_slots * service.floor_percent / FULL_PERCENT)
     return max(service.floor_slots, share_slots)
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_judge.py
@@ -20,8 +20,13 @@
 
 from cinderway._ids import DataHall, EntryName, ServerName
 from cinderway.judgement._comparison import has_contradiction, is_better_half_healthy
-from cinderway.judgement._conversation import ServerEvidence, Standing
-from cinderway.judgement._record import ObservationBatch, ServerRecord, Tally, is_out
+from cinderway.judgement._conversation import ServerEvidence, ServerStanding
+from cinderway.judgement._record import (
+    ObservationBatch,
+    ServerRecord,
+    Tally,
+    is_withdrawn,
+)
 from cinderway.judgement._sequential import (
     THRESHOLDS,
     Window,
@@ -33,7 +38,7 @@
 REPORTER_ACTIVE_MS = 3_000
 # Expiry of a drain signal, after which a server that was restarted at the same address
 # counts as draining no longer.
-DRAIN_VALID_MS = 60_000
+DRAIN_SIGNAL_TTL_MS = 60_000
 # Peers that fail more often than this are not healthy either.
 MAX_HEALTHY_PEER_BAD_SHARE = 0.2
 MIN_OBSERVED_PEERS = 3
@@ -110,7 +115,7 @@
         if record is None:
             record = self._records[evidence.server] = ServerRecord(evidence.server)
         if evidence.is_draining:
-            record.draining_until_ms = now_ms + DRAIN_VALID_MS
+            record.draining_until_ms = now_ms + DRAIN_SIGNAL_TTL_MS
         good, bad = evidence.good, evidence.bad
         record.record_batch(ObservationBatch(now_ms, reporter, hall, good, bad))
         record.caller_observations.add(max(good + bad - evidence.probes, 0), 0, now_ms)
@@ -118,7 +123,7 @@
         record.recent_time.add(evidence.time_sum_ms, evidence.time_count, now_ms)
         if bad:
             record.reason = evidence.main_reason().value
-        if is_out(record.standing) and (not record.halls or hall in record.halls):
+        if is_withdrawn(record.standing) and (not record.halls or hall in record.halls):
             return
         weights = compute_weights(self._peer_failure_rate())
         active_count = len(self._active_reporters(now_ms))
@@ -142,9 +147,11 @@
             return 0.0
         threshold = THRESHOLDS[service.bias]
         is_suspect = record.suspicion >= threshold * PROBE_THRESHOLD_SHARE
-        if record.standing is Standing.EJECTED and not (record.halls and is_suspect):
+        if record.standing is ServerStanding.EJECTED and not (
+            record.halls and is_suspect
+        ):
             return 0.0
-        if record.standing in (Standing.PROBING, Standing.TRIAL):
+        if record.standing in (ServerStanding.PROBING, ServerStanding.TRIAL):
             return READMISSION_PROBES_PER_S
         return SUSPECT_PROBES_PER_S if is_suspect else 0.0
 
@@ -167,18 +174,18 @@
     def share(self, record: ServerRecord, service: ServiceRow, now_ms: int) -> float:
         """Share of a server's weight that applies at its standing."""
         match record.standing:
-            case Standing.HEALTHY:
+            case ServerStanding.HEALTHY:
                 return 1.0
-            case Standing.TRIAL:
+            case ServerStanding.TRIAL:
                 return TRIAL_SHARE
-            case Standing.RECOVERING:
+            case ServerStanding.RECOVERING:
                 elapsed_ms = now_ms - record.standing_since_ms
                 ramp = elapsed_ms / max(service.slow_start_ms, 1)
                 return min(max(ramp, TRIAL_SHARE), 1.0)
             case _:
                 return 0.0
 
-    def pace_share(self, record: ServerRecord, now_ms: int) -> float:
+    def slow_server_share(self, record: ServerRecord, now_ms: int) -> float:
         """Share of the weight of a server that is healthy but slow at the moment.
 
         Requests that take twice as long occupy a server's slots for twice as long. The
@@ -198,25 +205,29 @@
     def _update_standing(
         self, record: ServerRecord, service: ServiceRow, now_ms: int
     ) -> None:
-        if record.halls and record.standing is not Standing.HEALTHY:
+        if record.halls and record.standing is not ServerStanding.HEALTHY:
             self._widen_ejection(record, service, now_ms)
         match record.standing:
-            case Standing.EJECTED if now_ms >= record.until_ms:
-                standing = Standing.PROBING if service.probe_path else Standing.TRIAL
+            case ServerStanding.EJECTED if now_ms >= record.until_ms:
+                standing = (
+                    ServerStanding.PROBING
+                    if service.probe_path
+                    else ServerStanding.TRIAL
+                )
                 record.set_standing(standing, now_ms)
-            case Standing.PROBING if record.bad_since_change:
+            case ServerStanding.PROBING if record.bad_since_change:
                 record.eject(record.halls, record.score, now_ms)
-            case Standing.PROBING if record.good_since_change >= PROBES_TO_TRIAL:
-                record.set_standing(Standing.TRIAL, now_ms)
-            case Standing.TRIAL:
+            case ServerStanding.PROBING if record.good_since_change >= PROBES_TO_TRIAL:
+                record.set_standing(ServerStanding.TRIAL, now_ms)
+            case ServerStanding.TRIAL:
                 self._update_trial(record, service, now_ms)
-            case Standing.RECOVERING:
+            case ServerStanding.RECOVERING:
                 if now_ms - record.standing_since_ms >= service.slow_start_ms:
-                    record.set_standing(Standing.HEALTHY, now_ms)
+                    record.set_standing(ServerStanding.HEALTHY, now_ms)
                     record.healthy_since_ms = now_ms
                 else:
                     self._eject_if_failing(record, service, now_ms)
-            case Standing.HEALTHY:
+            case ServerStanding.HEALTHY:
                 self._eject_if_failing(record, service, now_ms)
 
     def _update_trial(
@@ -229,13 +240,13 @@
             return
         is_over = now_ms - record.standing_since_ms >= MAX_TRIAL_MS
         if record.good_since_change >= GOOD_OBSERVATIONS_TO_RECOVER or is_over:
-            record.set_standing(Standing.RECOVERING, now_ms)
+            record.set_standing(ServerStanding.RECOVERING, now_ms)
 
     def _eject_if_failing(
         self, record: ServerRecord, service: ServiceRow, now_ms: int
     ) -> None:
         threshold = THRESHOLDS[service.bias]
-        if record.standing is Standing.RECOVERING:
+        if record.standing is ServerStanding.RECOVERING:
             threshold *= RELAPSE_THRESHOLD_SHARE
         for hall, window in list(record.windows.items()):
             if window.score < threshold:
@@ -330,7 +341,7 @@
         tallies = [
             peer.count_observations(since_ms, halls=scope)
             for peer in self._records.values()
-            if peer is not record and peer.standing is not Standing.EJECTED
+            if peer is not record and peer.standing is not ServerStanding.EJECTED
         ]
         seen = [tally for tally in tallies if tally.count]
         if len(seen) < min(MIN_OBSERVED_PEERS, len(tallies)) or not seen:
--- a/src/cinderway/judgement/_merge.py
+++ b/src/cinderway/judgement/_merge.py
@@ -8,12 +8,12 @@
 
 from cinderway._ids import DataHall, ServerName, ServiceName
 from cinderway.judgement._conversation import (
+    ServerStanding,
     ServerVerdict,
     ServiceNormal,
-    Standing,
     VerdictSheet,
 )
-from cinderway.judgement._record import is_out
+from cinderway.judgement._record import is_withdrawn
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class Agreed:
+class MergedVerdict:
     """The merged verdict of a quorum of assessors on a server."""
 
     is_ejected: bool
@@ -46,7 +46,7 @@
     own_hall: DataHall,
     quorum: int,
     now_ms: int,
-) -> dict[tuple[ServiceName, ServerName], Agreed]:
+) -> dict[tuple[ServiceName, ServerName], MergedVerdict]:
     """Return the merged verdict on each server that has a valid one.
 
     A server is ejected only while at least `quorum` assessors have ejected it and their
@@ -66,7 +66,7 @@
     }
 
 
-def service_norms(sheets: Collection[HeldSheet]) -> dict[ServiceName, ServiceNormal]:
+def median_norms(sheets: Collection[HeldSheet]) -> dict[ServiceName, ServiceNormal]:
     """Return for each service the report with the median of the normal answer times."""
     norms_by_service: dict[ServiceName, list[ServiceNormal]] = {}
     for held in sheets:
@@ -78,14 +78,14 @@
     }
 
 
-def _merge_verdicts(verdicts: list[ServerVerdict], quorum: int) -> Agreed:
-    votes = sum(is_out(verdict.standing) for verdict in verdicts)
+def _merge_verdicts(verdicts: list[ServerVerdict], quorum: int) -> MergedVerdict:
+    votes = sum(is_withdrawn(verdict.standing) for verdict in verdicts)
     is_ejected = votes >= quorum
     shares = sorted(
         verdict.share
         for verdict in verdicts
-        if verdict.standing in (Standing.TRIAL, Standing.RECOVERING)
-        or is_out(verdict.standing)
+        if verdict.standing in (ServerStanding.TRIAL, ServerStanding.RECOVERING)
+        or is_withdrawn(verdict.standing)
     )
     share = 1.0
     if not is_ejected and len(shares) >= quorum:
@@ -95,4 +95,6 @@
     # The highest requested probe rate is used, not the sum: one probe serves all
     # assessors. Draining needs no second assessor, since the server itself reports it.
     is_draining = any(verdict.is_draining for verdict in verdicts)
-    return Agreed(is_ejected, share, worst.score, probes[0], worst.reason, is_draining)
+    return MergedVerdict(
+        is_ejected, share, worst.score, probes[0], worst.reason, is_draining
+    )
--- a/src/cinderway/judgement/_record.py
+++ b/src/cinderway/judgement/_record.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from cinderway._ids import DataHall, EntryName, ServerName
-from cinderway.judgement._conversation import Standing
+from cinderway.judgement._conversation import ServerStanding
 from cinderway.judgement._sequential import Window
 
 TIMELINE_MS = 10_000
@@ -21,9 +21,9 @@
 EJECTION_BACKOFF_RESET_MS = 60_000
 
 
-def is_out(standing: Standing) -> bool:
+def is_withdrawn(standing: ServerStanding) -> bool:
     """Whether a server with this standing gets no callers' requests."""
-    return standing in (Standing.EJECTED, Standing.PROBING)
+    return standing in (ServerStanding.EJECTED, ServerStanding.PROBING)
 
 
 @dataclass
@@ -100,7 +100,7 @@
         default_factory=lambda: DecayingSums(RATE_HALF_LIFE_MS)
     )
     timeline: deque[ObservationBatch] = field(default_factory=deque)
-    standing: Standing = Standing.HEALTHY
+    standing: ServerStanding = ServerStanding.HEALTHY
     halls: frozenset[DataHall] = frozenset()
     standing_since_ms: int = 0
     until_ms: int = 0
@@ -172,12 +172,14 @@
         """The highest score of its windows."""
         return max((window.score for window in self.windows.values()), default=0.0)
 
-    def set_standing(self, standing: Standing, now_ms: int, until_ms: int = 0) -> None:
+    def set_standing(
+        self, standing: ServerStanding, now_ms: int, until_ms: int = 0
+    ) -> None:
         """Change the standing; reset the windows and the counts since the change."""
         self.standing = standing
         self.standing_since_ms = now_ms
         self.until_ms = until_ms
-        if standing is Standing.HEALTHY:
+        if standing is ServerStanding.HEALTHY:
             self.halls = frozenset()
         self.good_since_change = 0
         self.bad_since_change = 0
@@ -198,5 +200,5 @@
         self.healthy_since_ms = 0
         self.halls = halls
         self.score = score
-        self.set_standing(Standing.EJECTED, now_ms, now_ms + self.ejection_ms)
+        self.set_standing(ServerStanding.EJECTED, now_ms, now_ms + self.ejection_ms)
         self.ejection_ms = min(self.ejection_ms * 2, MAX_EJECTION_MS)
--- a/src/cinderway/judgement/_suspicion.py
+++ b/src/cinderway/judgement/_suspicion.py
@@ -17,21 +17,21 @@
 from dataclasses import dataclass, field
 
 from cinderway._ids import ServerName
-from cinderway.judgement._evidence import Bad
+from cinderway.judgement._evidence import FailureKind
 
 # The bursts of failures observed on the users' servers last about three seconds.
-FADES_MS = 2_800
+SUSPICION_MS = 2_800
 # Each time that a server is unreachable again, it is avoided for twice as long as the
-# time before, up to eight times FADES_MS: a server that is gone without notice costs
-# the data hall a failed attempt each time.
+# time before, up to eight times SUSPICION_MS: a server that is gone without notice
+# costs the data hall a failed attempt each time.
 MAX_UNREACHABLE_DOUBLINGS = 3
 # Requests in flight when a server becomes suspect end within about this time.
-UNDER_WAY_MS = 400
+IN_FLIGHT_MS = 400
 
 
 def suspicion_left(until_ms: int, now_ms: int) -> float:
     """Return a suspicion's current level: 1 just after a failure, falling to 0."""
-    return min(max(until_ms - now_ms, 0) / FADES_MS, 1.0)
+    return min(max(until_ms - now_ms, 0) / SUSPICION_MS, 1.0)
 
 
 @dataclass
@@ -44,30 +44,32 @@
     # How often each server was unreachable since its last good answer.
     _unreachable_counts: Counter[ServerName] = field(default_factory=Counter)
 
-    def record_alarm(self, server: ServerName, kind: Bad, now_ms: int) -> int | None:
+    def record_alarm(
+        self, server: ServerName, kind: FailureKind, now_ms: int
+    ) -> int | None:
         """Record a failed or overdue request; return the suspicion's end if it changed.
 
-        Failures within `UNDER_WAY_MS` of another one do not renew the suspicion, as
+        Failures within `IN_FLIGHT_MS` of another one do not renew the suspicion, as
         they are mostly requests that were in flight at the time.
         """
         known_until_ms = self._until_ms.get(server, now_ms)
-        if kind is not Bad.OVERDUE:
+        if kind is not FailureKind.OVERDUE:
             self._overdue_only.discard(server)
         elif known_until_ms <= now_ms:
             self._overdue_only.add(server)
-        if now_ms + FADES_MS < known_until_ms + UNDER_WAY_MS:
+        if now_ms + SUSPICION_MS < known_until_ms + IN_FLIGHT_MS:
             return None
         until_ms = now_ms + self._suspicion_ms(server, kind)
-        if kind is Bad.UNREACHABLE:
+        if kind is FailureKind.UNREACHABLE:
             self._unreachable_counts[server] += 1
         self._until_ms[server] = until_ms
         return until_ms
 
-    def _suspicion_ms(self, server: ServerName, kind: Bad) -> int:
-        if kind is not Bad.UNREACHABLE:
-            return FADES_MS
+    def _suspicion_ms(self, server: ServerName, kind: FailureKind) -> int:
+        if kind is not FailureKind.UNREACHABLE:
+            return SUSPICION_MS
         doublings = min(self._unreachable_counts[server], MAX_UNREACHABLE_DOUBLINGS)
-        return FADES_MS * 2**doublings
+        return SUSPICION_MS * 2**doublings
 
     def record_good(self, server: ServerName) -> None:
         """Record a good answer, which shows that the server is reachable."""
@@ -80,7 +82,7 @@
         self._overdue_only.remove(server)
         return self._until_ms.pop(server, None) is not None
 
-    def forget_old(self, now_ms: int) -> None:
+    def drop_expired(self, now_ms: int) -> None:
         """Drop the suspicions that have ended."""
         self._until_ms = {
             server: until_ms
--- a/src/cinderway/membership/_fleet.py
+++ b/src/cinderway/membership/_fleet.py
@@ -76,7 +76,7 @@
         known = [self._entries[name] for name in names]
         return [HeardReport(h.report, max(now_ms - h.received_at_ms, 0)) for h in known]
 
-    def set_listed(self, names: frozenset[EntryName] | None) -> None:
+    def apply_platform_list(self, names: frozenset[EntryName] | None) -> None:
         """Set the entries on the platform's list, or None if it is unavailable."""
         self._listed = names
 
@@ -117,7 +117,7 @@
         ]
         return min(levels, default=None)
 
-    def forget_gone(self, now_ms: int) -> None:
+    def drop_gone(self, now_ms: int) -> None:
         """Drop entries that are long gone, so that replaced ones do not accumulate.
 
         Their highest revisions are kept, as they may return under the same name, until
--- a/src/cinderway/poison/__init__.py
+++ b/src/cinderway/poison/__init__.py
@@ -15,32 +15,32 @@
     RequestRulings,
     RequestRuns,
 )
-from cinderway.poison._ruling import NO_RULING, Ruling, Standing
+from cinderway.poison._ruling import NO_RULING, RequestStanding, Ruling
 from cinderway.poison._tally import (
     CLEARED_FOR_MS,
-    ENDS_TO_REFUSE,
-    ENDS_TO_WATCH,
+    END_MEMORY_MS,
     MAX_TRACKED_REQUESTS,
+    REFUSAL_THRESHOLD,
     REFUSED_FOR_MS,
-    REMEMBERED_MS,
+    WATCH_THRESHOLD,
     PoisonTally,
 )
 
 __all__ = [
     "CLEARED_FOR_MS",
     "DIGEST_BYTES",
-    "ENDS_TO_REFUSE",
-    "ENDS_TO_WATCH",
+    "REFUSAL_THRESHOLD",
+    "WATCH_THRESHOLD",
     "MAX_TRACKED_REQUESTS",
     "EndedRun",
     "NO_RULING",
     "REFUSED_FOR_MS",
-    "REMEMBERED_MS",
+    "END_MEMORY_MS",
     "PoisonTally",
     "RequestDigests",
     "RequestRuling",
     "RequestRulings",
     "RequestRuns",
     "Ruling",
-    "Standing",
+    "RequestStanding",
 ]
--- a/src/cinderway/poison/_messages.py
+++ b/src/cinderway/poison/_messages.py
@@ -1,7 +1,7 @@
 """Messages about requests under which servers ended, and the rulings on them."""
 
 from cinderway._ids import RequestDigest, ServerName
-from cinderway.poison._ruling import Ruling, Standing
+from cinderway.poison._ruling import RequestStanding, Ruling
 from cinderway.wire import PackedMessage, PackedRow
 
 
@@ -27,7 +27,7 @@
     """A ruling in a form independent of the sender's clock; see `Ruling`."""
 
     digest: RequestDigest
-    standing: Standing
+    standing: RequestStanding
     round_number: int
     left_ms: int
     since_ago_ms: int
--- a/src/cinderway/poison/_ruling.py
+++ b/src/cinderway/poison/_ruling.py
@@ -6,7 +6,7 @@
 from cinderway._ids import RequestDigest, ServerName
 
 
-class Standing(IntEnum):
+class RequestStanding(IntEnum):
     """The status of a request.
 
     Of two rulings with the same round number the one with the higher value prevails.
@@ -26,7 +26,7 @@
     @property
     def is_sent(self) -> bool:
         """Whether requests with this standing are sent to servers."""
-        return self not in (Standing.REFUSED, Standing.BARRED)
+        return self not in (RequestStanding.REFUSED, RequestStanding.BARRED)
 
 
 @dataclass(frozen=True)
@@ -38,7 +38,7 @@
     """
 
     digest: RequestDigest
-    standing: Standing
+    standing: RequestStanding
     round_number: int
     until_ms: int
     # When the first of the servers ended on which the ruling is based.
@@ -57,9 +57,9 @@
         )
 
     @property
-    def rank(self) -> tuple[int, Standing]:
+    def rank(self) -> tuple[int, RequestStanding]:
         """The precedence of the ruling: that with the highest rank is in force."""
         return (self.round_number, self.standing)
 
 
-NO_RULING = Ruling(RequestDigest(b""), Standing.UNKNOWN, 0, 0, 0)
+NO_RULING = Ruling(RequestDigest(b""), RequestStanding.UNKNOWN, 0, 0, 0)
--- a/src/cinderway/poison/_tally.py
+++ b/src/cinderway/poison/_tally.py
@@ -12,14 +12,14 @@
 
 from cinderway._ids import RequestDigest, ServerName
 from cinderway.poison._messages import RequestRulings, RequestRuns
-from cinderway.poison._ruling import NO_RULING, Ruling, Standing
+from cinderway.poison._ruling import NO_RULING, RequestStanding, Ruling
 
-ENDS_TO_WATCH = 2
+WATCH_THRESHOLD = 2
 # The users' requirements tolerate three ended servers, and three more sends of the
 # request after those.
-ENDS_TO_REFUSE = 3
+REFUSAL_THRESHOLD = 3
 # Ends further apart are not counted together, as callers have given up by then.
-REMEMBERED_MS = 600_000
+END_MEMORY_MS = 600_000
 # Longer than callers retry automatically. After a refusal has expired, the first server
 # that ends under the request leads to another refusal, which lasts twice as long: each
 # retrial costs one server.
@@ -69,13 +69,13 @@
             # The request was in flight at the server when it was refused.
             return None
         suspect = self._suspects.pop(digest, None) or _SuspectRequest()
-        suspect.forget_before(now_ms - REMEMBERED_MS)
+        suspect.forget_before(now_ms - END_MEMORY_MS)
         suspect.ended_at_ms.setdefault(server, now_ms)
         _insert_newest(self._suspects, digest, suspect)
         standing = _standing_after(len(suspect.ended_at_ms), held)
         if standing is held.standing and now_ms < held.until_ms:
             return None
-        if standing is Standing.UNKNOWN:
+        if standing is RequestStanding.UNKNOWN:
             return None
         return self._make_ruling(digest, standing, suspect, held, now_ms)
 
@@ -86,22 +86,22 @@
         """
         suspect = self._suspects.pop(digest, None)
         held = self._last_ruling(digest, now_ms)
-        if held.standing not in (Standing.WATCHED, Standing.REFUSED):
+        if held.standing not in (RequestStanding.WATCHED, RequestStanding.REFUSED):
             return None
         cleared = suspect or _SuspectRequest()
-        return self._make_ruling(digest, Standing.CLEARED, cleared, held, now_ms)
+        return self._make_ruling(digest, RequestStanding.CLEARED, cleared, held, now_ms)
 
     def bar(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Refuse a request at an operator's command; return the ruling."""
         suspect = self._suspects.get(digest) or _SuspectRequest()
         held = self._last_ruling(digest, now_ms)
-        return self._make_ruling(digest, Standing.BARRED, suspect, held, now_ms)
+        return self._make_ruling(digest, RequestStanding.BARRED, suspect, held, now_ms)
 
     def lift(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Clear a request at an operator's command; return the ruling."""
         suspect = self._suspects.pop(digest, None) or _SuspectRequest()
         held = self._last_ruling(digest, now_ms)
-        return self._make_ruling(digest, Standing.CLEARED, suspect, held, now_ms)
+        return self._make_ruling(digest, RequestStanding.CLEARED, suspect, held, now_ms)
 
     def apply_ruling(self, ruling: Ruling, now_ms: int) -> bool:
         """Apply another process's ruling if it is newer; return whether it was."""
@@ -109,7 +109,7 @@
         if ruling.rank <= held.rank or ruling.until_ms <= now_ms:
             return False
         self._store_ruling(ruling)
-        if ruling.standing is Standing.CLEARED:
+        if ruling.standing is RequestStanding.CLEARED:
             self._suspects.pop(ruling.digest, None)
         return True
 
@@ -124,7 +124,7 @@
         rulings = [line.ruling(now_ms) for line in message.lines]
         return [ruling for ruling in rulings if self.apply_ruling(ruling, now_ms)]
 
-    def standing_of(self, digest: RequestDigest, now_ms: int) -> Standing:
+    def standing_of(self, digest: RequestDigest, now_ms: int) -> RequestStanding:
         """Return the standing of a request."""
         return self.ruling_of(digest, now_ms).standing
 
@@ -133,7 +133,7 @@
         held = self._rulings.get(digest, NO_RULING)
         return held if now_ms < held.until_ms else NO_RULING
 
-    def is_known(self, digest: RequestDigest) -> bool:
+    def is_tracked(self, digest: RequestDigest) -> bool:
         """Whether the request is tracked, so that a good answer to it is relevant."""
         return digest in self._suspects or digest in self._rulings
 
@@ -144,14 +144,14 @@
     def _last_ruling(self, digest: RequestDigest, now_ms: int) -> Ruling:
         """Return the last ruling that still counts, or NO_RULING.
 
-        An expired refusal counts for another `REMEMBERED_MS`.
+        An expired refusal counts for another `END_MEMORY_MS`.
         """
         held = self._rulings.get(digest, NO_RULING)
         if now_ms < held.until_ms:
             return held
         # The refusal has expired: the request is sent again, on trial.
-        is_retrial = held.standing is Standing.REFUSED
-        if is_retrial and now_ms < held.until_ms + REMEMBERED_MS:
+        is_retrial = held.standing is RequestStanding.REFUSED
+        if is_retrial and now_ms < held.until_ms + END_MEMORY_MS:
             return held
         self._rulings.pop(digest, None)
         return NO_RULING
@@ -159,12 +159,12 @@
     def _make_ruling(
         self,
         digest: RequestDigest,
-        standing: Standing,
+        standing: RequestStanding,
         suspect: _SuspectRequest,
         held: Ruling,
         now_ms: int,
     ) -> Ruling:
-        refusals = held.refusals + 1 if standing is Standing.REFUSED else 0
+        refusals = held.refusals + 1 if standing is RequestStanding.REFUSED else 0
         ruling = Ruling(
             digest,
             standing,
@@ -174,7 +174,7 @@
             tuple(suspect.ended_at_ms),
             refusals,
         )
-        if standing is Standing.REFUSED:
+        if standing is RequestStanding.REFUSED:
             # The earlier ends are not needed: after expiry, one more end is enough.
             self._suspects.pop(digest, None)
         self._store_ruling(ruling)
@@ -185,22 +185,24 @@
         _insert_newest(self._rulings, ruling.digest, ruling)
 
 
-def _standing_after(ends: int, held: Ruling) -> Standing:
+def _standing_after(ends: int, held: Ruling) -> RequestStanding:
     """Return a request's standing after a number of ends, given the last ruling."""
-    if held.refusals or ends >= ENDS_TO_REFUSE:
-        return Standing.REFUSED
-    return Standing.WATCHED if ends >= ENDS_TO_WATCH else Standing.UNKNOWN
+    if held.refusals or ends >= REFUSAL_THRESHOLD:
+        return RequestStanding.REFUSED
+    return (
+        RequestStanding.WATCHED if ends >= WATCH_THRESHOLD else RequestStanding.UNKNOWN
+    )
 
 
-def _ruling_duration_ms(standing: Standing, refusals: int) -> int:
+def _ruling_duration_ms(standing: RequestStanding, refusals: int) -> int:
     match standing:
-        case Standing.REFUSED:
+        case RequestStanding.REFUSED:
             return REFUSED_FOR_MS * 2 ** min(refusals - 1, MAX_DOUBLINGS)
-        case Standing.BARRED:
+        case RequestStanding.BARRED:
             return BARRED_FOR_MS
-        case Standing.CLEARED:
+        case RequestStanding.CLEARED:
             return CLEARED_FOR_MS
-    return REMEMBERED_MS
+    return END_MEMORY_MS
 
 
 def _insert_newest(held: dict, digest: RequestDigest, value: object) -> None:
--- a/src/cinderway/pushback/_rate_shares.py
+++ b/src/cinderway/pushback/_rate_shares.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from cinderway._ids import EntryName, ServerName
-from cinderway.routing import rank_of
+from cinderway.routing import rendezvous_rank
 
 # In any window of this length, servers tolerate this multiple of their rate plus a
 # burst of so many requests. Source: the users' commitment to backend servers.
@@ -78,5 +78,5 @@
     """Return the first `count` names in the rendezvous hashing order of a server."""
     if count >= len(names):
         return frozenset(names)
-    ranked = sorted(names, key=lambda name: rank_of(server, name), reverse=True)
+    ranked = sorted(names, key=lambda name: rendezvous_rank(server, name), reverse=True)
     return frozenset(ranked[:count])
--- a/src/cinderway/reports/_conversation.py
+++ b/src/cinderway/reports/_conversation.py
@@ -37,7 +37,7 @@
     """Ask for the last ejections."""
 
 
-class Happening(Enum):
+class EventKind(Enum):
     """What happened to a backend server on an entry."""
 
     EJECTED = "ejected"
@@ -50,7 +50,7 @@
 
     service: ServiceName
     server: ServerName
-    what: Happening
+    what: EventKind
     ago_ms: int
     reason: str
     score: float
--- a/src/cinderway/routing/_choose.py
+++ b/src/cinderway/routing/_choose.py
@@ -41,7 +41,7 @@
     suspect: float = SUSPECT_PENALTY
 
 
-USUAL_PENALTIES = Penalties()
+DEFAULT_PENALTIES = Penalties()
 
 
 @dataclass(frozen=True)
@@ -70,12 +70,12 @@
         return max(own_load, self.known_load + 1 / self.slots)
 
 
-def choose(
+def choose_server(
     candidates: Iterable[Candidate],
     own_hall: DataHall,
     rng: random.Random,
     exclude: Collection[ServerName] = (),
-    penalties: Penalties = USUAL_PENALTIES,
+    penalties: Penalties = DEFAULT_PENALTIES,
 ) -> Candidate | None:
     """Return the sampled candidate with the lowest load for its weight, or None.
 
@@ -104,10 +104,10 @@
     allowed = [c for c in candidates if c.name not in exclude]
     own = [c for c in allowed if c.data_hall == own_hall]
     others = [c for c in allowed if c.data_hall != own_hall]
-    return draw_few(own, rng) + draw_few(others, rng)
+    return draw_sample(own, rng) + draw_sample(others, rng)
 
 
-def draw_few(servers: list[T], rng: random.Random) -> list[T]:
+def draw_sample(servers: list[T], rng: random.Random) -> list[T]:
     """Return a random sample of `SAMPLE_SIZE` servers, or all if there are no more."""
     if len(servers) <= SAMPLE_SIZE:
         return servers
@@ -119,12 +119,12 @@
     return (candidate.next_load + penalty) / max(effective_weight, MIN_WEIGHT)
 
 
-def rank_of(first: str, second: str) -> int:
+def rendezvous_rank(first: str, second: str) -> int:
     """Return the rendezvous hash of two names."""
     return xxhash.xxh3_64_intdigest(f"{first}\0{second}".encode())
 
 
-def own_subset(
+def connection_subset(
     entry: EntryName, servers: Collection[ServerName], size: int
 ) -> frozenset[ServerName]:
     """Return the servers that an entry keeps connections to.
@@ -135,5 +135,5 @@
     """
     if size >= len(servers):
         return frozenset(servers)
-    ranked = sorted(servers, key=lambda server: rank_of(entry, server))
+    ranked = sorted(servers, key=lambda server: rendezvous_rank(entry, server))
     return frozenset(ranked[:size])
--- a/src/cinderway/routing/_load.py
+++ b/src/cinderway/routing/_load.py
@@ -4,6 +4,6 @@
 LOAD_DECAY_MS = 1_000
 
 
-def faded_load(load: float, age_ms: int) -> float:
+def decayed_load(load: float, age_ms: int) -> float:
     """Return a load, as a share of slots, decayed linearly by its age."""
     return load * max(1 - max(age_ms, 0) / LOAD_DECAY_MS, 0.0)
--- a/src/cinderway/table/__init__.py
+++ b/src/cinderway/table/__init__.py
@@ -16,7 +16,7 @@
     TableAnswer,
 )
 from cinderway.table._csv import changes_from_csv, export_csv
-from cinderway.table._edits import Action, Change, Edit, EditAnswer, Verdict
+from cinderway.table._edits import Action, Change, Edit, EditAnswer, EditOutcome
 from cinderway.table._machine import TableMachine, founding_state
 from cinderway.table._rows import (
     COLUMNS,
@@ -60,7 +60,7 @@
     "TableAnswer",
     "TableDelta",
     "TableMachine",
-    "Verdict",
+    "EditOutcome",
     "allowed_values",
     "changes_from_csv",
     "export_csv",
--- a/src/cinderway/table/_edits.py
+++ b/src/cinderway/table/_edits.py
@@ -57,7 +57,7 @@
         return msgspec.msgpack.decode(data, type=Edit)
 
 
-class Verdict(Enum):
+class EditOutcome(Enum):
     """Whether an edit took effect."""
 
     ACCEPTED = "accepted"
@@ -72,7 +72,7 @@
     conflict, 0 if that row does not exist, and `winner_value` the cell's current value.
     """
 
-    verdict: Verdict
+    verdict: EditOutcome
     revision: int
     code: str = ""
     detail: str = ""
@@ -81,11 +81,11 @@
 
 def accepted(revision: int) -> EditAnswer:
     """Return the answer to an edit that took effect."""
-    return EditAnswer(Verdict.ACCEPTED, revision)
+    return EditAnswer(EditOutcome.ACCEPTED, revision)
 
 
 def refused(
     code: ErrorCode, detail: str, *, revision: int = 0, winner_value: str = ""
 ) -> EditAnswer:
     """Return the answer to an edit that did not take effect."""
-    return EditAnswer(Verdict.REFUSED, revision, code.value, detail, winner_value)
+    return EditAnswer(EditOutcome.REFUSED, revision, code.value, detail, winner_value)
--- a/src/cinderway/table/_rows.py
+++ b/src/cinderway/table/_rows.py
@@ -198,12 +198,12 @@
     )
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether the table allows new requests to be sent to this server."""
         return self.state is ServerState.ACTIVE and self.weight > 0
 
     @property
-    def own_name(self) -> ServerName:
+    def expected_name(self) -> ServerName:
         """The name that the server itself uses, sent to it as the expected name."""
         return self.name
 
--- a/src/cinderway/table/_rules.py
+++ b/src/cinderway/table/_rules.py
@@ -92,7 +92,7 @@
             )
         return
     service = row.typed
-    capacity_slots = sum(s.slots for s in servers.values() if s.takes_work)
+    capacity_slots = sum(s.slots for s in servers.values() if s.accepts_requests)
     if service.routes and capacity_slots == 0:
         raise _rule_broken(
             f"service {name} has routes but no server that accepts requests"
--- a/tests/catalog/test_starts.py
+++ b/tests/catalog/test_starts.py
@@ -57,7 +57,7 @@
     def registered(self):
         """Return the id, start time and status of each registered server."""
         return {
-            (server.told_id, server.started_at_ms, server.status)
+            (server.reported_id, server.started_at_ms, server.status)
             for server in self.registry.servers.values()
         }
 
@@ -93,7 +93,7 @@
         (second,) = self.registry.servers
         self.assertEqual(first, "1")
         self.assertNotEqual(second, first)
-        self.assertEqual(self.registry.servers[second].told_id, "1")
+        self.assertEqual(self.registry.servers[second].reported_id, "1")
 
     def test_mirrors_replace_the_earlier_start_by_the_later_one(self):
         mirror = CatalogMirror()
@@ -279,7 +279,7 @@
             mirror.install(catalog.machine.update_since(mirror.revision))
             self.assert_one_start_per_id(catalog)
         servers = catalog.machine.registry.servers
-        registered = {(s.told_id, s.started_at_ms) for s in servers.values()}
+        registered = {(s.reported_id, s.started_at_ms) for s in servers.values()}
         self.assertEqual(registered, expected.alive)
         self.assertEqual(mirror.servers, servers)
 
@@ -300,5 +300,5 @@
         )
 
     def assert_one_start_per_id(self, catalog):
-        ids = [s.told_id for s in catalog.machine.registry.servers.values()]
+        ids = [s.reported_id for s in catalog.machine.registry.servers.values()]
         self.assertEqual(len(ids), len(set(ids)))
--- a/tests/control/test_allowances.py
+++ b/tests/control/test_allowances.py
@@ -16,7 +16,7 @@
     RouteSheet,
 )
 from cinderway.control import _allowances
-from cinderway.control._account_tokens import Standing
+from cinderway.control._account_tokens import VotingStatus
 from cinderway.control._allowances import LEASE_MS, Allowances
 from cinderway.limits import AllowanceLease, AllowanceRules, TokenGrant
 
@@ -69,10 +69,10 @@
             self.start(address)
 
     def start(self, address):
-        standing = Standing(True, len(self.addresses))
+        voting_status = VotingStatus(True, len(self.addresses))
         machine = ModelMachine(self.addresses)
         self[address] = Allowances(
-            address, machine, self.calls, RULES, lambda: standing
+            address, machine, self.calls, RULES, lambda: voting_status
         )
 
     async def borrow(self, address):
@@ -96,7 +96,7 @@
             self.assertEqual(answer.lines[0].granted, LIMIT // 3)
 
     def test_a_replica_without_a_vote_has_no_share(self):
-        self.assertEqual(Standing(False, 5).share, 0)
+        self.assertEqual(VotingStatus(False, 5).share, 0)
 
     def test_an_account_that_the_replica_does_not_know_yet_may_ask_again_soon(self):
         found = ModelGroup(1)["r0"].grant(
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_news.py
@@ -23,7 +23,7 @@
     HallGossip,
     batch_period_s,
 )
-from cinderway.judgement import FADES_MS
+from cinderway.judgement import SUSPICION_MS
 
 HALLS = {"10.1.0.1:7100": "suva", "10.1.0.2:7100": "suva", "10.2.0.1:7100": "nadi"}
 LOADS = [ServerLoad("i-1", 0.5)]
@@ -181,16 +181,16 @@
 
     def test_simultaneous_failures_are_sent_as_one_batch(self):
         """In a big hall dozens of servers fail each second, each seen by one entry."""
-        many = [SuspectServers([f"i-{index}"], [FADES_MS]) for index in range(50)]
+        many = [SuspectServers([f"i-{index}"], [SUSPICION_MS]) for index in range(50)]
         self.share(*((self.gossip.receive_entry_suspects, message) for message in many))
         self.assertEqual(self.local.batches, 1)
         self.assertEqual(len(self.local.suspects[0].servers), 50)
         self.assertEqual(len(self.calls.sent), 2)
 
     def test_long_suspicions_are_shortened_for_other_halls(self):
-        message = SuspectServers(["i-1", "i-2"], [8 * FADES_MS, 100])
+        message = SuspectServers(["i-1", "i-2"], [8 * SUSPICION_MS, 100])
         self.share((self.gossip.receive_entry_suspects, message))
-        message = SuspectServers(["i-1", "i-2"], [FADES_MS, 100])
+        message = SuspectServers(["i-1", "i-2"], [SUSPICION_MS, 100])
         self.assertEqual(
             [message for _, message in self.calls.sent], [message, message]
         )
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -9,7 +9,7 @@
 from cinderway.catalog import CATALOG, AnnounceReplica, CatalogMachine, encode_command
 from cinderway.control import _poison_news
 from cinderway.control._poison_news import PoisonGossip
-from cinderway.poison import EndedRun, RequestRulings, RequestRuns, Standing
+from cinderway.poison import EndedRun, RequestRulings, RequestRuns, RequestStanding
 
 ADDRESSES = ("10.1.0.1:7100", "10.1.0.2:7100", "10.2.0.1:7100")
 OWN, *OTHERS = ADDRESSES
@@ -72,7 +72,7 @@
             lambda: self.gossip.receive_entry_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings and len(self.calls.sent) == 2,
         )
-        self.assertEqual(self.entry.standings, [Standing.REFUSED])
+        self.assertEqual(self.entry.standings, [RequestStanding.REFUSED])
         expected = [(address, build_runs("a", "b", "c")) for address in OTHERS]
         self.assertEqual(self.calls.sent, expected)
 
@@ -87,7 +87,7 @@
         self.gossip.receive_entry_runs(build_runs("a"))
         self.gossip.receive_replica_runs(build_runs("b", "c"))
         (line,) = self.gossip.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
 
     def test_a_good_answer_at_another_replica_clears_the_request(self):
         self.gossip.receive_entry_runs(build_runs("a", "b", "c"))
@@ -95,7 +95,7 @@
             lambda: self.gossip.receive_replica_runs(RequestRuns([], [DIGEST])),
             is_enough=lambda: self.entry.standings,
         )
-        self.assertEqual(self.entry.standings, [Standing.CLEARED])
+        self.assertEqual(self.entry.standings, [RequestStanding.CLEARED])
 
     def test_rulings_in_force_are_resent_to_replicas(self):
         def sent_rulings():
@@ -109,7 +109,7 @@
         restarted = PoisonGossip(OTHERS[0], CatalogMachine(), RecordingCalls(), set)
         restarted.receive_rulings(sent_rulings()[0])
         (line,) = restarted.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
 
     def test_without_rulings_nothing_is_resent(self):
         self.play(
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -11,7 +11,7 @@
 )
 from cinderway.catalog._machine import REFUSED_LIMIT
 from cinderway.control._poison_store import build_due_commands, build_ruling
-from cinderway.poison import REFUSED_FOR_MS, REMEMBERED_MS, PoisonTally, Standing
+from cinderway.poison import END_MEMORY_MS, REFUSED_FOR_MS, PoisonTally, RequestStanding
 
 DIGEST = RequestDigest(b"d" * 16)
 WALL_MS = 1_790_000_000_000
@@ -53,18 +53,20 @@
         commit_due(self.machine, self.tally)
         left_ms = 1_000
         wall_ms = WALL_MS + REFUSED_FOR_MS - left_ms
-        self.assertIs(self.restored_standing(77, wall_ms), Standing.REFUSED)
-        self.assertIs(self.restored_standing(77, wall_ms + left_ms), Standing.UNKNOWN)
+        self.assertIs(self.restored_standing(77, wall_ms), RequestStanding.REFUSED)
+        self.assertIs(
+            self.restored_standing(77, wall_ms + left_ms), RequestStanding.UNKNOWN
+        )
 
     def test_the_refusal_of_a_cleared_request_is_removed(self):
         commit_due(self.machine, self.tally)
         self.tally.record_good(DIGEST, 1)
         self.assertEqual(commit_due(self.machine, self.tally, now_ms=1), 1)
-        self.assertIs(self.restored_standing(2, WALL_MS + 2), Standing.UNKNOWN)
+        self.assertIs(self.restored_standing(2, WALL_MS + 2), RequestStanding.UNKNOWN)
 
     def test_a_refusal_that_expired_long_ago_is_removed(self):
         commit_due(self.machine, self.tally)
-        over_ms = WALL_MS + REFUSED_FOR_MS + REMEMBERED_MS
+        over_ms = WALL_MS + REFUSED_FOR_MS + END_MEMORY_MS
         due = list(build_due_commands([], self.machine, 0, over_ms))
         self.assertEqual(due, [AllowRequest(DIGEST)])
 
--- a/tests/entry/callers/test_handler.py
+++ b/tests/entry/callers/test_handler.py
@@ -12,7 +12,7 @@
 from cinderway.entry.callers._handler import Handler
 from cinderway.entry.callers._relay import WholeAnswer
 from cinderway.entry.fleet._report_server import ReportServer
-from cinderway.poison import ENDS_TO_REFUSE
+from cinderway.poison import REFUSAL_THRESHOLD
 from cinderway.routing import RouteTable
 from cinderway.table import ServiceRow
 
@@ -84,7 +84,7 @@
 
     def test_a_request_that_ends_servers_is_refused_and_others_are_served(self):
         self.assertEqual(self.ask()[0], 200)
-        for number in range(ENDS_TO_REFUSE):
+        for number in range(REFUSAL_THRESHOLD):
             self.attempts.requests[0].permit.record_failed_run(f"s{number}", 90)
         status, headers = self.ask()
         self.assertEqual(status, 503)
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -30,7 +30,7 @@
     HeaderNames,
 )
 from cinderway.judgement import EvidenceLog
-from cinderway.poison import ENDS_TO_REFUSE, REFUSED_FOR_MS
+from cinderway.poison import REFUSAL_THRESHOLD, REFUSED_FOR_MS
 
 
 def sheet(version, service="lookup", kind="repeatable", **fields):
@@ -197,7 +197,7 @@
         return anyio.run(self.serve, caller), caller
 
     def test_a_request_that_ends_servers_is_refused_at_once_with_a_retry_time(self):
-        (status,), caller = self.poisoned(ended=ENDS_TO_REFUSE)
+        (status,), caller = self.poisoned(ended=REFUSAL_THRESHOLD)
         self.assertEqual(status, 503)
         self.assertEqual(caller.headers[0][b"cinderway-outcome"], b"not_run")
         retry_after_s = float(caller.headers[0][b"retry-after"])
@@ -205,13 +205,13 @@
         self.assertEqual(self.attempts.requests, [])
 
     def test_a_request_that_ended_fewer_servers_is_sent_but_not_sent_again(self):
-        (status,), _ = self.poisoned(ended=ENDS_TO_REFUSE - 1)
+        (status,), _ = self.poisoned(ended=REFUSAL_THRESHOLD - 1)
         self.assertEqual(status, 200)
         (request,) = self.attempts.requests
         self.assertFalse(anyio.run(request.permit.acquire_rerun))
 
     def test_a_request_that_differs_is_served(self):
-        self.poisoned(ended=ENDS_TO_REFUSE)
+        self.poisoned(ended=REFUSAL_THRESHOLD)
         caller = Caller(60_000)
         caller.scope["query_string"] = b"page=2"
         self.assertEqual(anyio.run(self.serve, caller), [200])
@@ -221,7 +221,7 @@
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests[0].permit
         self.assertTrue(permit.is_valid)
-        for number in range(ENDS_TO_REFUSE):
+        for number in range(REFUSAL_THRESHOLD):
             permit.record_failed_run(f"i-{number}", 90)
         self.assertFalse(permit.is_valid)
         self.assertIs(permit.refusal().step, Step.QUEUE)
--- a/tests/entry/fleet/_modelled_control.py
+++ b/tests/entry/fleet/_modelled_control.py
@@ -20,7 +20,7 @@
     Command,
     encode_command,
 )
-from cinderway.control._account_tokens import Standing
+from cinderway.control._account_tokens import VotingStatus
 from cinderway.control._allowances import Allowances
 from cinderway.control._catalog_service import CatalogService
 from cinderway.control._commands import Commands, ReplicaCalls
@@ -93,7 +93,9 @@
                 HallAssessor(JudgementRules(Bias.BALANCED, 70)),
                 RetryPools(18, 1.45),
             ),
-            Allowances(address, self.machine, calls, rules, lambda: Standing(True, 1)),
+            Allowances(
+                address, self.machine, calls, rules, lambda: VotingStatus(True, 1)
+            ),
         )
 
     def apply(self, index: int, *commands: Command) -> None:
--- a/tests/entry/fleet/test_assessor_server.py
+++ b/tests/entry/fleet/test_assessor_server.py
@@ -14,7 +14,7 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
-    Standing,
+    RequestStanding,
 )
 from cinderway.wire import Envelope
 
@@ -64,7 +64,7 @@
         entries = [StubEntry(ended("a", "b")), StubEntry(ended("c"))]
         self.serve_until(*entries, until=1)
         for entry in entries:
-            self.assertIs(entry.standings[-1], Standing.REFUSED)
+            self.assertIs(entry.standings[-1], RequestStanding.REFUSED)
 
     def test_what_an_entry_knows_already_is_passed_on(self):
         tally = PoisonTally()
@@ -72,4 +72,4 @@
         known = RequestRulings([RequestRuling.from_ruling(rulings[-1], 0)])
         entries = [StubEntry(known), StubEntry()]
         self.serve_until(*entries, until=1)
-        self.assertEqual(entries[1].standings, [Standing.REFUSED])
+        self.assertEqual(entries[1].standings, [RequestStanding.REFUSED])
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -12,7 +12,7 @@
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry._catalog_board import CatalogBoard
 from cinderway.entry.fleet._hall_peers import SERVERS_PER_DATAGRAM, HallPeers
-from cinderway.judgement import Bad, EvidenceLog
+from cinderway.judgement import EvidenceLog, FailureKind
 from tests.entry.test_catalog_board import SERVICE, SUVA, catalog
 
 KEY = b"a key that is long enough"
@@ -51,7 +51,7 @@
 class HallPeersTests(unittest.TestCase):
     def test_a_server_that_fails_at_one_entry_is_suspect_at_another(self):
         one, other = entry("e1"), entry("e2")
-        one.state.record_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", FailureKind.ERROR)
         for message in one.take_pending_messages():
             other.receive_datagram(one.encode_datagram(message))
         self.assertGreater(server_of(other, "a").suspect_until_ms, monotonic_ms())
@@ -68,7 +68,7 @@
 
     def test_changes_are_sent_once(self):
         one = entry("e1")
-        one.state.record_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", FailureKind.ERROR)
         self.assertEqual(len(list(one.take_pending_messages())), 1)
         self.assertEqual(list(one.take_pending_messages()), [])
 
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -25,8 +25,8 @@
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._permit import UNLIMITED
 from cinderway.entry.servers._slots import WantedSlot
-from cinderway.judgement import FADES_MS, UNDER_WAY_MS, EvidenceLog
-from cinderway.routing import USUAL_PENALTIES, Penalties
+from cinderway.judgement import IN_FLIGHT_MS, SUSPICION_MS, EvidenceLog
+from cinderway.routing import DEFAULT_PENALTIES, Penalties
 
 SERVICE = ServiceName("lookup")
 SUVA = DataHall("suva")
@@ -67,7 +67,7 @@
         message = ServerLoads(reported)
         self.state.receive_loads(message, monotonic_ms())
 
-    def choice(self, penalties=USUAL_PENALTIES):
+    def choice(self, penalties=DEFAULT_PENALTIES):
         service = self.state.board.services[SERVICE]
         # Chooses anew each time: no request is counted as sent.
         wanted = WantedSlot(
@@ -136,7 +136,7 @@
         self.state.pop_loads(monotonic_ms())
         others = ServerLoads([ServerLoad("a", NO_LOAD, 4), ServerLoad("b", NO_LOAD, 4)])
         self.state.receive_fleet_loads(others, monotonic_ms())
-        self.state.follow_anew()
+        self.state.reset_for_new_replica()
         reported = self.state.pop_loads(monotonic_ms())
         self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["b"].fleet_in_flight, 0)
@@ -171,12 +171,14 @@
         self.assertFalse(self.state.has_rejections.is_set())
 
     def test_a_server_that_another_entry_has_just_reported_is_not_reported_again(self):
-        self.state.receive_message(SuspectServers(["a"], [FADES_MS]), monotonic_ms())
+        self.state.receive_message(
+            SuspectServers(["a"], [SUSPICION_MS]), monotonic_ms()
+        )
         self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), [])
 
     def test_a_server_that_another_entry_reported_earlier_is_reported_again(self):
-        left_ms = FADES_MS - UNDER_WAY_MS
+        left_ms = SUSPICION_MS - IN_FLIGHT_MS
         self.state.receive_message(SuspectServers(["a"], [left_ms]), monotonic_ms())
         self.state.board.on_rejection(ServerName("a"))
         self.assertEqual(self.reported(), ["a"])
--- a/tests/entry/test_poison_watch.py
+++ b/tests/entry/test_poison_watch.py
@@ -12,7 +12,7 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
-    Standing,
+    RequestStanding,
 )
 
 D, E = RequestDigest(b"d" * 16), RequestDigest(b"e" * 16)
@@ -74,9 +74,9 @@
     def test_runs_of_other_entries_count_too(self):
         self.watch.record_broken_run(D, "a")
         self.watch.receive_runs(RequestRuns([EndedRun(D, "b"), EndedRun(D, "c")], []))
-        self.assertIs(self.standing(), Standing.REFUSED)
+        self.assertIs(self.standing(), RequestStanding.REFUSED)
         self.watch.receive_runs(RequestRuns([], [D]))
-        self.assertIs(self.standing(), Standing.CLEARED)
+        self.assertIs(self.standing(), RequestStanding.CLEARED)
 
     def test_a_ruling_of_the_replica_is_applied_and_waiting_requests_are_woken(self):
         self.watch.receive_rulings(rulings_of(refused()))
@@ -126,7 +126,7 @@
     def test_a_replica_without_rulings_gets_the_current_ones(self):
         self.watch.receive_rulings(rulings_of(refused()))
         (line,) = self.watch.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
         other = PoisonWatch()
         other.receive_rulings(rulings_of(line))
         self.assertIsNotNone(other.find_refusal(D))
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -80,7 +80,7 @@
 
     def test_requests_that_hang_count_as_load_after_the_last_word_has_faded(self):
         with_in_flight = result_of(self.declared)
-        with patch.object(ServerState, "load_at", ServerState.told_load_at):
+        with patch.object(ServerState, "load_at", ServerState.reported_load_at):
             without = result_of(self.declared)
         self.assertLess(missed_share(with_in_flight), 0.9 * missed_share(without))
 
--- a/tests/judgement/test_evidence.py
+++ b/tests/judgement/test_evidence.py
@@ -1,7 +1,7 @@
 import math
 import unittest
 
-from cinderway.judgement import Bad, EvidenceLog, Pace
+from cinderway.judgement import EvidenceLog, FailureKind, Pace
 from cinderway.judgement._evidence import PIECE_BYTES, SLOW_FACTOR
 
 KEY = ("maps", "m1")
@@ -21,7 +21,7 @@
         self.log.record_overdue(slow_after_ms - 1)
         self.assertEqual(self.log.pop_counts(), {})
         self.log.record_overdue(slow_after_ms)
-        self.assertEqual(self.counts().bad, {Bad.OVERDUE: 1})
+        self.assertEqual(self.counts().bad, {FailureKind.OVERDUE: 1})
 
     def test_late_answer_is_not_counted_bad_twice(self):
         self.log.record_overdue(300)
@@ -41,7 +41,7 @@
         self.log.record_first_byte(self.attempt, 200, 20)
         self.log.record_progress(self.attempt, PIECE_BYTES // 2, 100)
         self.log.record_overdue(400)
-        self.assertEqual(self.counts().bad, {Bad.OVERDUE: 1})
+        self.assertEqual(self.counts().bad, {FailureKind.OVERDUE: 1})
 
     def test_caller_that_reads_slowly_does_not_make_the_server_look_slow(self):
         self.log.record_first_byte(self.attempt, 200, 20)
--- a/tests/judgement/test_judge.py
+++ b/tests/judgement/test_judge.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from cinderway.judgement import ServerEvidence, ServiceJudge, Standing
+from cinderway.judgement import ServerEvidence, ServerStanding, ServiceJudge
 from cinderway.table import Bias, ServiceRow
 
 SERVERS = [f"s{n}" for n in range(10)]
@@ -87,7 +87,7 @@
         return {
             record.name
             for record in self.judge.records()
-            if record.standing is Standing.EJECTED
+            if record.standing is ServerStanding.EJECTED
             and (hall is None or not record.halls or hall in record.halls)
         }
 
@@ -215,7 +215,7 @@
     def test_recovered_server_is_readmitted_by_trial_and_slow_start(self):
         world = World(lambda e, server, now: server == "s3" and now < 3000).run(15_000)
         record = next(r for r in world.judge.records() if r.name == "s3")
-        self.assertIs(record.standing, Standing.HEALTHY)
+        self.assertIs(record.standing, ServerStanding.HEALTHY)
 
     def test_only_entry_of_a_small_fleet_can_eject_alone(self):
         world = World(lambda e, server, now: server == "s3", entries=["e0"]).run(5000)
@@ -237,4 +237,4 @@
                 evidence = ServerEvidence("lookup", "s0", overdue=1)
                 judge.record_evidence(entry, "suva", evidence, service, now_ms)
             judge.decide(service, ["s0"], now_ms)
-        self.assertIs(judge.records()[0].standing, Standing.HEALTHY)
+        self.assertIs(judge.records()[0].standing, ServerStanding.HEALTHY)
--- a/tests/judgement/test_merge.py
+++ b/tests/judgement/test_merge.py
@@ -7,8 +7,8 @@
 from cinderway.judgement import (
     Capacity,
     HeldSheet,
+    ServerStanding,
     ServerVerdict,
-    Standing,
     VerdictSheet,
     merge_sheets,
     permitted_ejections,
@@ -21,7 +21,12 @@
 
 
 def verdict(
-    server, standing=Standing.EJECTED, halls=(), score=9.0, share=0.0, is_draining=False
+    server,
+    standing=ServerStanding.EJECTED,
+    halls=(),
+    score=9.0,
+    share=0.0,
+    is_draining=False,
 ):
     return ServerVerdict(
         "lookup",
@@ -66,13 +71,13 @@
         self.assertEqual(ejected(sheets, hall="nadi"), {"s0"})
 
     def test_drain_signal_from_one_assessor_suffices(self):
-        drained = verdict("s0", Standing.HEALTHY, share=1.0, is_draining=True)
+        drained = verdict("s0", ServerStanding.HEALTHY, share=1.0, is_draining=True)
         agreed = merge_sheets([held("a", [drained])], "suva", 2, 0)["lookup", "s0"]
         self.assertTrue(agreed.is_draining)
         self.assertFalse(agreed.is_ejected)
 
     def test_server_on_trial_gets_the_share_that_a_quorum_asks_for(self):
-        trial = verdict("s0", Standing.TRIAL, share=0.1)
+        trial = verdict("s0", ServerStanding.TRIAL, share=0.1)
         agreed = merge_sheets([held("a", [trial]), held("b", [trial])], "suva", 2, 0)
         self.assertEqual(agreed["lookup", "s0"].share, 0.1)
 
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -12,7 +12,7 @@
     plan_connections,
 )
 from cinderway.limits._retry_budget import INITIAL_TOKENS
-from cinderway.routing import own_subset
+from cinderway.routing import connection_subset
 from cinderway.table import ServiceRow
 
 SERVICE = ServiceRow(name="lookup", queue_limit=4, caller_limit=2)
@@ -56,7 +56,7 @@
         plan = plan_connections(200, 1_100, len(servers))
         connections = Counter()
         for entry in range(1_100):
-            for server in own_subset(f"e{entry}", servers, plan.subset_size):
+            for server in connection_subset(f"e{entry}", servers, plan.subset_size):
                 connections[server] += plan.per_entry
         self.assertLessEqual(max(connections.values()), 200)
         self.assertEqual(len(connections), len(servers))
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -20,19 +20,19 @@
         self.fleet = Fleet()
 
     def test_entry_with_heartbeats_is_live_even_if_the_list_omits_it(self):
-        self.fleet.set_listed(frozenset())
+        self.fleet.apply_platform_list(frozenset())
         self.fleet.record_report(report(), 0)
         self.assertIs(self.fleet.state_of("e1", 100), LiveState.LIVE)
 
     def test_listed_entry_without_heartbeats_is_not_live(self):
-        self.fleet.set_listed(frozenset({"e1"}))
+        self.fleet.apply_platform_list(frozenset({"e1"}))
         self.fleet.record_report(report(), 0)
         self.assertIs(self.fleet.state_of("e1", SILENT_AFTER_MS), LiveState.SILENT)
         self.assertIs(self.fleet.state_of("e1", GONE_AFTER_MS), LiveState.GONE)
 
     def test_list_only_shortens_the_timeout_of_a_silent_entry(self):
         self.fleet.record_report(report(), 0)
-        self.fleet.set_listed(frozenset({"other"}))
+        self.fleet.apply_platform_list(frozenset({"other"}))
         state = self.fleet.state_of("e1", UNLISTED_GONE_AFTER_MS)
         self.assertIs(state, LiveState.GONE)
 
--- a/tests/poison/test_tally.py
+++ b/tests/poison/test_tally.py
@@ -7,12 +7,12 @@
 from cinderway._ids import RequestDigest, ServerName
 from cinderway.poison import (
     CLEARED_FOR_MS,
-    ENDS_TO_REFUSE,
+    END_MEMORY_MS,
     MAX_TRACKED_REQUESTS,
+    REFUSAL_THRESHOLD,
     REFUSED_FOR_MS,
-    REMEMBERED_MS,
     PoisonTally,
-    Standing,
+    RequestStanding,
 )
 
 D, E = RequestDigest(b"d"), RequestDigest(b"e")
@@ -30,20 +30,20 @@
 
     def test_a_request_is_refused_once_three_servers_have_ended_under_it(self):
         self.assertEqual(self.end("a"), [None])
-        self.assertIs(self.standing(), Standing.UNKNOWN)
+        self.assertIs(self.standing(), RequestStanding.UNKNOWN)
         self.end("b")
-        self.assertIs(self.standing(), Standing.WATCHED)
+        self.assertIs(self.standing(), RequestStanding.WATCHED)
         (ruling,) = self.end("c")
-        self.assertIs(self.standing(), Standing.REFUSED)
+        self.assertIs(self.standing(), RequestStanding.REFUSED)
         self.assertEqual(ruling.servers, ("a", "b", "c"))
 
     def test_one_start_of_a_server_counts_once(self):
         self.end("a", "a", "a", "b", "b")
-        self.assertIs(self.standing(), Standing.WATCHED)
+        self.assertIs(self.standing(), RequestStanding.WATCHED)
 
     def test_other_requests_are_unaffected(self):
         self.end("a", "b", "c")
-        self.assertIs(self.standing(digest=E), Standing.UNKNOWN)
+        self.assertIs(self.standing(digest=E), RequestStanding.UNKNOWN)
 
     def test_ends_after_the_refusal_change_nothing(self):
         self.end("a", "b", "c")
@@ -52,30 +52,30 @@
     def test_good_answer_clears_it_and_restarts_the_count(self):
         self.end("a", "b", "c")
         ruling = self.tally.record_good(D, 1)
-        self.assertIs(ruling.standing, Standing.CLEARED)
+        self.assertIs(ruling.standing, RequestStanding.CLEARED)
         self.end("d", at_ms=2)
-        self.assertIs(self.standing(2), Standing.CLEARED)
+        self.assertIs(self.standing(2), RequestStanding.CLEARED)
         self.end("e", "f", at_ms=2)
-        self.assertIs(self.standing(2), Standing.REFUSED)
+        self.assertIs(self.standing(2), RequestStanding.REFUSED)
 
     def test_good_answer_before_any_ruling_resets_the_count(self):
         self.end("a")
         self.assertIsNone(self.tally.record_good(D, 1))
         self.end("b", at_ms=2)
-        self.assertIs(self.standing(2), Standing.UNKNOWN)
+        self.assertIs(self.standing(2), RequestStanding.UNKNOWN)
 
     def test_ends_far_apart_are_not_counted_together(self):
         self.end("a", "b")
-        self.end("c", at_ms=REMEMBERED_MS + 1)
-        self.assertIs(self.standing(REMEMBERED_MS + 1), Standing.UNKNOWN)
+        self.end("c", at_ms=END_MEMORY_MS + 1)
+        self.assertIs(self.standing(END_MEMORY_MS + 1), RequestStanding.UNKNOWN)
 
     def test_expired_refusal_is_renewed_by_the_next_end(self):
         self.end("a", "b", "c")
         over_ms = REFUSED_FOR_MS
-        self.assertIs(self.standing(over_ms - 1), Standing.REFUSED)
-        self.assertIs(self.standing(over_ms), Standing.UNKNOWN)
+        self.assertIs(self.standing(over_ms - 1), RequestStanding.REFUSED)
+        self.assertIs(self.standing(over_ms), RequestStanding.UNKNOWN)
         (ruling,) = self.end("d", at_ms=over_ms + 7)
-        self.assertIs(ruling.standing, Standing.REFUSED)
+        self.assertIs(ruling.standing, RequestStanding.REFUSED)
         self.assertEqual(ruling.until_ms, over_ms + 7 + 2 * REFUSED_FOR_MS)
 
     def test_good_answer_after_an_expired_refusal_resets_the_refusals(self):
@@ -83,13 +83,13 @@
         self.tally.record_good(D, REFUSED_FOR_MS + 1)
         at_ms = REFUSED_FOR_MS + 1 + CLEARED_FOR_MS
         self.end("d", at_ms=at_ms)
-        self.assertIs(self.standing(at_ms), Standing.UNKNOWN)
+        self.assertIs(self.standing(at_ms), RequestStanding.UNKNOWN)
 
     def test_refusals_are_reset_long_after_the_last_one_expired(self):
         self.end("a", "b", "c")
-        at_ms = REFUSED_FOR_MS + REMEMBERED_MS
+        at_ms = REFUSED_FOR_MS + END_MEMORY_MS
         self.end("d", at_ms=at_ms)
-        self.assertIs(self.standing(at_ms), Standing.UNKNOWN)
+        self.assertIs(self.standing(at_ms), RequestStanding.UNKNOWN)
 
     def test_barred_request_is_sent_again_only_after_an_operator_lifts_it(self):
         self.tally.bar(D, 0)
@@ -108,14 +108,14 @@
         cleared = other.record_good(D, 1)
         self.assertTrue(self.tally.apply_ruling(cleared, 1))
         self.assertFalse(self.tally.apply_ruling(refused, 1))
-        self.assertIs(self.standing(1), Standing.CLEARED)
+        self.assertIs(self.standing(1), RequestStanding.CLEARED)
 
     def test_number_of_tracked_requests_is_bounded(self):
         for number in range(2 * MAX_TRACKED_REQUESTS):
             digest = RequestDigest(number.to_bytes(16))
-            self.end(*range(ENDS_TO_REFUSE), digest=digest)
+            self.end(*range(REFUSAL_THRESHOLD), digest=digest)
         self.assertEqual(len(self.tally.rulings(0)), MAX_TRACKED_REQUESTS)
-        self.assertIs(self.standing(digest=digest), Standing.REFUSED)
+        self.assertIs(self.standing(digest=digest), RequestStanding.REFUSED)
 
 
 STEPS = st.lists(
@@ -169,5 +169,5 @@
             elif what != "tell":
                 tally.record_end(D, ServerName(f"s{what}"), now_ms)
                 ends.add(what)
-            if len(ends) < ENDS_TO_REFUSE:
-                self.assertIsNot(tally.standing_of(D, now_ms), Standing.REFUSED)
+            if len(ends) < REFUSAL_THRESHOLD:
+                self.assertIsNot(tally.standing_of(D, now_ms), RequestStanding.REFUSED)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -8,9 +8,9 @@
     Candidate,
     Penalties,
     RouteTable,
-    choose,
-    faded_load,
-    own_subset,
+    choose_server,
+    connection_subset,
+    decayed_load,
 )
 from cinderway.table import ServiceRow
 
@@ -53,39 +53,45 @@
 
 
 class ChooseTest(unittest.TestCase):
-    def choose(self, *candidates, exclude=()):
-        chosen = choose(candidates, "suva", random.Random(1), exclude)
+    def choose_server(self, *candidates, exclude=()):
+        chosen = choose_server(candidates, "suva", random.Random(1), exclude)
         return chosen.name if chosen else None
 
     def test_least_loaded_server_is_chosen(self):
-        self.assertEqual(self.choose(candidate("a", in_flight=2), candidate("b")), "b")
+        self.assertEqual(
+            self.choose_server(candidate("a", in_flight=2), candidate("b")), "b"
+        )
 
     def test_own_hall_is_preferred_at_equal_load(self):
-        self.assertEqual(self.choose(candidate("a", "nadi"), candidate("b")), "b")
+        self.assertEqual(
+            self.choose_server(candidate("a", "nadi"), candidate("b")), "b"
+        )
 
     def test_idle_server_in_another_hall_is_preferred_to_a_loaded_own_one(self):
         loaded = candidate("b", in_flight=3)
-        self.assertEqual(self.choose(candidate("a", "nadi"), loaded), "a")
+        self.assertEqual(self.choose_server(candidate("a", "nadi"), loaded), "a")
 
     def test_server_on_trial_gets_fewer_requests(self):
-        self.assertEqual(self.choose(candidate("a", share=0.1), candidate("b")), "b")
+        self.assertEqual(
+            self.choose_server(candidate("a", share=0.1), candidate("b")), "b"
+        )
 
     def test_suspect_is_chosen_only_if_the_others_have_a_much_higher_load(self):
         suspect = candidate("a", suspicion=1.0)
-        self.assertEqual(self.choose(suspect, candidate("b", load=1.0)), "b")
-        self.assertEqual(self.choose(suspect, candidate("b", load=2.0)), "a")
+        self.assertEqual(self.choose_server(suspect, candidate("b", load=1.0)), "b")
+        self.assertEqual(self.choose_server(suspect, candidate("b", load=2.0)), "a")
 
     def test_penalty_falls_as_the_suspicion_decays(self):
         full = candidate("b", load=1.0)
-        self.assertEqual(self.choose(candidate("a", suspicion=0.9), full), "b")
-        self.assertEqual(self.choose(candidate("a", suspicion=0.1), full), "a")
+        self.assertEqual(self.choose_server(candidate("a", suspicion=0.9), full), "b")
+        self.assertEqual(self.choose_server(candidate("a", suspicion=0.1), full), "a")
 
     def test_larger_suspect_penalty_accepts_a_higher_load_elsewhere(self):
         servers = (candidate("a", suspicion=1.0), candidate("b", load=1.75))
         rng = random.Random(1)
-        self.assertEqual(choose(servers, "suva", rng).name, "a")
+        self.assertEqual(choose_server(servers, "suva", rng).name, "a")
         # Requests that cannot be sent again have a larger suspect penalty.
-        chosen = choose(servers, "suva", rng, penalties=Penalties(suspect=2.0))
+        chosen = choose_server(servers, "suva", rng, penalties=Penalties(suspect=2.0))
         self.assertEqual(chosen.name, "b")
 
     def test_larger_hall_penalty_keeps_a_request_in_a_loaded_own_hall(self):
@@ -93,11 +99,11 @@
         rng = random.Random(1)
         # Large answers have a larger penalty for other halls.
         small, large = Penalties(other_hall=0.7), Penalties(other_hall=2.0)
-        self.assertEqual(choose(servers, "suva", rng, penalties=small).name, "a")
-        self.assertEqual(choose(servers, "suva", rng, penalties=large).name, "b")
+        self.assertEqual(choose_server(servers, "suva", rng, penalties=small).name, "a")
+        self.assertEqual(choose_server(servers, "suva", rng, penalties=large).name, "b")
 
     def test_excluded_server_is_not_chosen(self):
-        self.assertIsNone(self.choose(candidate("a"), exclude={"a"}))
+        self.assertIsNone(self.choose_server(candidate("a"), exclude={"a"}))
 
 
 class LoadTest(unittest.TestCase):
@@ -105,17 +111,20 @@
     def test_known_load_never_rises_with_age_and_falls_to_zero(
         self, load, age_ms, later_ms
     ):
-        first, second = faded_load(load, age_ms), faded_load(load, age_ms + later_ms)
+        first, second = (
+            decayed_load(load, age_ms),
+            decayed_load(load, age_ms + later_ms),
+        )
         self.assertLessEqual(second, first)
         self.assertTrue(0 <= first <= load)
-        self.assertEqual(faded_load(load, LOAD_DECAY_MS), 0)
+        self.assertEqual(decayed_load(load, LOAD_DECAY_MS), 0)
 
 
 class SubsetTest(unittest.TestCase):
     @given(st.integers(1, 30), st.integers(2, 40))
     def test_removed_server_changes_only_its_own_share_of_the_subset(self, size, count):
         servers = [f"s{n}" for n in range(count)]
-        before = own_subset("e1", servers, size)
-        after = own_subset("e1", servers[1:], size)
+        before = connection_subset("e1", servers, size)
+        after = connection_subset("e1", servers[1:], size)
         self.assertEqual(before - {"s0"} <= after, True)
         self.assertLessEqual(len(after - before), 1)
--- a/tests/table/test_machine.py
+++ b/tests/table/test_machine.py
@@ -9,11 +9,11 @@
     Action,
     Change,
     Edit,
+    EditOutcome,
     RowKey,
     Sheet,
     Table,
     TableMachine,
-    Verdict,
     founding_state,
 )
 
@@ -48,20 +48,20 @@
 def build_machine(**limits):
     machine = TableMachine(**limits)
     changes = [*SERVICE, *server_changes("s1", 1), *server_changes("s2", 2)]
-    assert machine.apply_edit(edit("first", *changes)).verdict is Verdict.ACCEPTED
+    assert machine.apply_edit(edit("first", *changes)).verdict is EditOutcome.ACCEPTED
     return machine
 
 
 class EditTest(unittest.TestCase):
     def assert_refused(self, answer, code):
-        self.assertIs(answer.verdict, Verdict.REFUSED)
+        self.assertIs(answer.verdict, EditOutcome.REFUSED)
         self.assertEqual(answer.code, code.value)
 
     def test_second_edit_of_a_cell_at_one_revision_is_refused_with_the_winner(self):
         machine = build_machine()
         won = machine.apply_edit(edit("a", set_weight("50", 1)))
         lost = machine.apply_edit(edit("b", set_weight("60", 1)))
-        self.assertIs(won.verdict, Verdict.ACCEPTED)
+        self.assertIs(won.verdict, EditOutcome.ACCEPTED)
         self.assert_refused(lost, ErrorCode.REVISION_CONFLICT)
         self.assertEqual((lost.winner_value, lost.revision), ("50", won.revision))
 
--- a/tests/wire/test_packed.py
+++ b/tests/wire/test_packed.py
@@ -24,7 +24,7 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
-    Standing,
+    RequestStanding,
 )
 
 MESSAGES = (
@@ -42,7 +42,7 @@
 PACKED_ONLY = (
     RequestRuns([EndedRun(b"d" * 16, "i-1")], [b"e" * 16]),
     RequestRulings(
-        [RequestRuling(b"d" * 16, Standing.REFUSED, 2, 600_000, 40, ["i-1"], 1)]
+        [RequestRuling(b"d" * 16, RequestStanding.REFUSED, 2, 600_000, 40, ["i-1"], 1)]
     ),
 )
 
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -290,8 +290,9 @@
     Guard(
         "a server that asked for rest is not chosen",
         "entry/servers/_holds.py",
-        "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
-        "    return server.takes_work(now_ms)\n",
+        "    return server.accepts_requests(now_ms) and "
+        "server.pushback.can_accept(now_ms)\n",
+        "    return server.accepts_requests(now_ms)\n",
         PUSHBACK_TESTS,
     ),
     Guard(
