--- a/bench/account_sheets.py
+++ b/bench/account_sheets.py
@@ -11,7 +11,7 @@
 
 from bench.figures import ms, table
 from cinderway.catalog import AccountIndex, decode_sheet
-from cinderway.catalog._packing import pack, unpack
+from cinderway.catalog._packing import compress_sheet, decompress_sheet
 
 COUNTS = (80, 1_000, 43_000)
 KEYS_AN_ACCOUNT = 2
@@ -31,8 +31,8 @@
 
 def _measure(count: int, routes: int) -> list[str]:
     body = _sheet(count, routes)
-    packed, pack_ms = _timed(lambda: pack(body))
-    sheet, read_ms = _timed(lambda: decode_sheet(unpack(packed)))
+    packed, pack_ms = _timed(lambda: compress_sheet(body))
+    sheet, read_ms = _timed(lambda: decode_sheet(decompress_sheet(packed)))
     _, index_ms = _timed(lambda: AccountIndex(sheet.accounts))
     sizes = [f"{count:,}", f"{len(body):,}", f"{len(packed):,}"]
     return sizes + [ms(value) for value in (pack_ms, read_ms, index_ms)]
--- a/src/cinderway/_cli/_claims.py
+++ b/src/cinderway/_cli/_claims.py
@@ -31,7 +31,9 @@
 @with_settings(OperatorSettings)
 def list_claims(settings: OperatorSettings) -> None:
     """Print the claims in doubt, oldest first."""
-    found = ask_ledger(settings, lambda ledger, at: ledger.in_doubt(LIST_LIMIT, at))
+    found = ask_ledger(
+        settings, lambda ledger, at: ledger.find_claims_in_doubt(LIST_LIMIT, at)
+    )
     for record in found:
         name = record.name
         print(
--- a/src/cinderway/catalog/__init__.py
+++ b/src/cinderway/catalog/__init__.py
@@ -51,11 +51,11 @@
     VerdictLine,
 )
 from cinderway.catalog._heartbeats import (
-    check_server_id,
-    decode_farewell,
+    decode_deregistration,
     decode_heartbeat,
+    parse_server_id,
 )
-from cinderway.catalog._machine import CatalogMachine, Installed
+from cinderway.catalog._machine import CatalogMachine, SheetInstallation
 from cinderway.catalog._mirror import CatalogMirror
 from cinderway.catalog._refusals import REFUSALS_PATH, RefusalRow, parse_digest
 from cinderway.catalog._registry import (
@@ -106,7 +106,7 @@
     "HallEntries",
     "HeldAllowance",
     "InstallSheet",
-    "Installed",
+    "SheetInstallation",
     "RefusalRow",
     "RefuseRequest",
     "Register",
@@ -133,9 +133,9 @@
     "TakeRetry",
     "VerdictBatch",
     "VerdictLine",
-    "check_server_id",
+    "parse_server_id",
     "decode_command",
-    "decode_farewell",
+    "decode_deregistration",
     "decode_heartbeat",
     "decode_sheet",
     "encode_command",
--- a/src/cinderway/catalog/_accounts.py
+++ b/src/cinderway/catalog/_accounts.py
@@ -75,7 +75,7 @@
             self._digest(key): account for account in accounts for key in account.keys
         }
 
-    def account_of(self, key: ApiKey) -> AccountRow | None:
+    def find_account(self, key: ApiKey) -> AccountRow | None:
         """Return the account that a key belongs to, or None."""
         return self._by_digest.get(self._digest(key))
 
--- a/src/cinderway/catalog/_commands.py
+++ b/src/cinderway/catalog/_commands.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cinderway._ids import Address, DataHall, RequestDigest, ServerName
-from cinderway.catalog._packing import pack, unpack
+from cinderway.catalog._packing import compress_sheet, decompress_sheet
 from cinderway.catalog._registry import UNKNOWN_START, RegisteredServer
 
 
@@ -24,12 +24,12 @@
     @classmethod
     def from_body(cls, body: bytes) -> "InstallSheet":
         """Return the command that installs a validated sheet."""
-        return cls(packed=pack(body))
+        return cls(packed=compress_sheet(body))
 
     @property
     def unpacked_body(self) -> bytes:
         """The text of the sheet as the operator sent it."""
-        return unpack(self.packed) if self.packed else self.body
+        return decompress_sheet(self.packed) if self.packed else self.body
 
 
 class Register(msgspec.Struct, frozen=True, tag="register"):
--- a/src/cinderway/catalog/_heartbeats.py
+++ b/src/cinderway/catalog/_heartbeats.py
@@ -58,7 +58,7 @@
 _deregistration_decoder = msgspec.json.Decoder(Deregistration, strict=True)
 
 
-def check_server_id(text: str) -> ServerName:
+def parse_server_id(text: str) -> ServerName:
     """Return a valid id; raises CinderwayError with HEARTBEAT_INVALID otherwise."""
     if not 1 <= len(text) <= MAX_ID_LENGTH:
         raise _invalid(
@@ -87,7 +87,7 @@
     )
 
 
-def decode_farewell(server_id: ServerName, body: bytes) -> int:
+def decode_deregistration(server_id: ServerName, body: bytes) -> int:
     """Return the start time of the start that leaves.
 
     It is UNKNOWN_START, which stands for the newest known start, if the body is empty
--- a/src/cinderway/catalog/_machine.py
+++ b/src/cinderway/catalog/_machine.py
@@ -21,7 +21,7 @@
     decode_command,
 )
 from cinderway.catalog._conversation import CatalogUpdate, ReplicaAddress
-from cinderway.catalog._packing import pack
+from cinderway.catalog._packing import compress_sheet
 from cinderway.catalog._registry import (
     NewestStart,
     RegisteredServer,
@@ -35,10 +35,10 @@
 # The highest number of refused requests that are stored; each takes 139 bytes of a
 # snapshot. A request is refused once three servers have failed while running it, so a
 # fleet that needs more than this has failures that a longer list would not contain.
-REFUSED_LIMIT = 1_024
+MAX_REFUSALS = 1_024
 
 
-class Installed(msgspec.Struct, frozen=True):
+class SheetInstallation(msgspec.Struct, frozen=True):
     """The result of installing a sheet; `version` is the one now in force."""
 
     version: int
@@ -82,7 +82,9 @@
         """Whether a sheet was ever installed."""
         return self.sheet is not None
 
-    def apply(self, index: int, data: bytes) -> Installed | RegistryChange | None:
+    def apply(
+        self, index: int, data: bytes
+    ) -> SheetInstallation | RegistryChange | None:
         """Apply a committed command; one that cannot be decoded changes nothing.
 
         Skipping it is safe, because replicas of the same build agree on which commands
@@ -115,7 +117,7 @@
                 self.refused.pop(digest, None)
                 return None
 
-    def freeze(self) -> Callable[[], bytes]:
+    def capture_snapshot(self) -> Callable[[], bytes]:
         """Capture the current state and return a function that encodes it.
 
         The function may be called later and in another thread.
@@ -165,7 +167,7 @@
             gone=gone if revision else [],
         )
 
-    def replica_addresses(self) -> list[ReplicaAddress]:
+    def get_replica_addresses(self) -> list[ReplicaAddress]:
         """Return the addresses and data halls of all announced control replicas."""
         return [
             ReplicaAddress(replica.address, replica.data_hall)
@@ -175,21 +177,21 @@
     def _get_packed_sheet(self) -> bytes:
         """Return the compressed sheet, which is compressed once for all entries."""
         if not self._packed_sheet_cache:
-            self._packed_sheet_cache = pack(self.sheet_body)
+            self._packed_sheet_cache = compress_sheet(self.sheet_body)
         return self._packed_sheet_cache
 
-    def _install_sheet(self, index: int, body: bytes) -> Installed:
+    def _install_sheet(self, index: int, body: bytes) -> SheetInstallation:
         sheet = decode_sheet(body)
         if self.sheet is not None and sheet.version <= self.sheet.version:
-            return Installed(self.sheet.version, is_changed=False)
+            return SheetInstallation(self.sheet.version, is_changed=False)
         self.sheet, self.sheet_body, self._packed_sheet_cache = sheet, body, b""
         self.revision = self._sheet_revision = index
-        return Installed(sheet.version, is_changed=True)
+        return SheetInstallation(sheet.version, is_changed=True)
 
     def _store_refusal(self, refused: RefuseRequest) -> None:
         """Store a refusal as the newest; beyond the limit, evict the oldest."""
         self.refused.pop(refused.digest, None)
-        if len(self.refused) >= REFUSED_LIMIT:
+        if len(self.refused) >= MAX_REFUSALS:
             self.refused.pop(next(iter(self.refused)))
         self.refused[refused.digest] = refused
         logger.info("a refusal is stored: digest %s", refused.digest.hex())
--- a/src/cinderway/catalog/_mirror.py
+++ b/src/cinderway/catalog/_mirror.py
@@ -10,7 +10,7 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import ServerName
 from cinderway.catalog._conversation import CatalogUpdate
-from cinderway.catalog._packing import unpack
+from cinderway.catalog._packing import decompress_sheet
 from cinderway.catalog._registry import RegisteredServer
 from cinderway.catalog._sheet import RouteSheet, decode_sheet
 
@@ -53,7 +53,7 @@
             if not update.packed_sheet:
                 return self.sheet, servers
             return self._choose_newer_sheet(
-                decode_sheet(unpack(update.packed_sheet))
+                decode_sheet(decompress_sheet(update.packed_sheet))
             ), servers
         except (msgspec.MsgspecError, zlib.error) as error:
             raise CinderwayError(
--- a/src/cinderway/catalog/_packing.py
+++ b/src/cinderway/catalog/_packing.py
@@ -12,11 +12,11 @@
 COMPRESSION_LEVEL = 6
 
 
-def pack(body: bytes) -> bytes:
+def compress_sheet(body: bytes) -> bytes:
     """Return the compressed text of a sheet."""
     return zlib.compress(body, COMPRESSION_LEVEL)
 
 
-def unpack(packed: bytes) -> bytes:
+def decompress_sheet(packed: bytes) -> bytes:
     """Return the text that `pack` compressed to these bytes."""
     return zlib.decompress(packed)
--- a/src/cinderway/catalog/_registry.py
+++ b/src/cinderway/catalog/_registry.py
@@ -110,7 +110,7 @@
         self.newest: dict[ServerName, NewestStart] = {}
         self._by_address: dict[Address, ServerName] = {}
 
-    def change_of(self, reported: RegisteredServer) -> RegistryChange:
+    def compute_change(self, reported: RegisteredServer) -> RegistryChange:
         """Return what registering a server would change, without applying it.
 
         A registered server keeps the address, service and slots that it registered
@@ -136,13 +136,13 @@
 
     def register(self, reported: RegisteredServer, revision: int) -> RegistryChange:
         """Apply a server's heartbeat and return what changed."""
-        change = self.change_of(reported)
+        change = self.compute_change(reported)
         self._apply_change(change, revision)
         return change
 
     def reinstate(self, reported: RegisteredServer, revision: int) -> RegistryChange:
         """Put a displaced server back at its address and return what changed."""
-        known = self.displaced_start_of(reported)
+        known = self.find_displaced_start(reported)
         if known is None:
             return NO_CHANGE
         if reported.status is ServerStatus.LEAVING:
@@ -152,7 +152,9 @@
         self._apply_change(change, revision)
         return change
 
-    def displaced_start_of(self, reported: RegisteredServer) -> RegisteredServer | None:
+    def find_displaced_start(
+        self, reported: RegisteredServer
+    ) -> RegisteredServer | None:
         """Return the displaced start that sent this heartbeat, or None."""
         newest = self.newest.get(reported.server_id)
         if newest is None or reported.started_at_ms != newest.started_at_ms:
--- a/src/cinderway/control/_catalog_http.py
+++ b/src/cinderway/control/_catalog_http.py
@@ -32,11 +32,11 @@
     Register,
     RegisteredServer,
     Reinstate,
-    check_server_id,
-    decode_farewell,
+    decode_deregistration,
     decode_heartbeat,
     decode_sheet,
     parse_digest,
+    parse_server_id,
 )
 from cinderway.control._catalog_service import CatalogService
 from cinderway.control._displaced_heard import DisplacedLiveness
@@ -128,10 +128,10 @@
                 self.service.hall.poison.lift(_parse_digest_path(path))
                 return Answer(OK)
             case ("PUT", path) if path.startswith(SERVERS_PREFIX):
-                server_id = check_server_id(path.removeprefix(SERVERS_PREFIX))
+                server_id = parse_server_id(path.removeprefix(SERVERS_PREFIX))
                 return await self._put_server(server_id, receive)
             case ("DELETE", path) if path.startswith(SERVERS_PREFIX):
-                server_id = check_server_id(path.removeprefix(SERVERS_PREFIX))
+                server_id = parse_server_id(path.removeprefix(SERVERS_PREFIX))
                 return await self._delete_server(server_id, receive)
         return Answer(NOT_FOUND)
 
@@ -189,19 +189,19 @@
         body = await _read_body(receive, HEARTBEAT_LIMIT_BYTES)
         server = decode_heartbeat(server_id, body)
         registry = self.service.machine.registry
-        displaced = registry.displaced_start_of(server)
+        displaced = registry.find_displaced_start(server)
         if displaced is not None:
             if self.liveness.record_heartbeat(displaced.server_id, monotonic_ms()):
                 await self.service.commands.submit(Reinstate(server))
                 _log_server(server, "reinstated")
-        elif not registry.change_of(server).is_empty:
+        elif not registry.compute_change(server).is_empty:
             await self.service.commands.submit(Register(server))
             _log_server(server, server.status.value)
         return Answer(OK)
 
     async def _delete_server(self, server_id, receive) -> Answer:
         body = await _read_body(receive, HEARTBEAT_LIMIT_BYTES)
-        started_at_ms = decode_farewell(server_id, body)
+        started_at_ms = decode_deregistration(server_id, body)
         if not self.service.machine.registry.has_left(server_id, started_at_ms):
             await self.service.commands.submit(Deregister(server_id, started_at_ms))
             logger.info(
--- a/src/cinderway/control/_catalog_service.py
+++ b/src/cinderway/control/_catalog_service.py
@@ -109,7 +109,7 @@
                             standby_scope.cancel()
                             tasks.start_soon(self._serve_follower, connection, request)
                         case ServerLoads(servers=loads):
-                            self.hall.news.receive_replica_loads(connection, loads)
+                            self.hall.gossip.receive_replica_loads(connection, loads)
                             await connection.send(Done(), envelope.call_id)
                         case AskAllowances() as asked:
                             # Called here and not in the task, so that a holder's
@@ -132,15 +132,15 @@
                 logger.debug("the connection with %s ended: %s", name, error)
                 tasks.cancel_scope.cancel()
             finally:
-                self.hall.news.forget(connection)
+                self.hall.gossip.remove_source(connection)
 
     def _handle_one_way(self, connection: Connection, message: Message) -> bool:
         """Handle an entry's one-way message; return False if it is a request."""
         match message:
             case EvidenceBatch():
-                self.hall.take_evidence(message)
+                self.hall.receive_evidence(message)
             case ServerLoads(servers=loads):
-                self.hall.news.receive_entry_loads(connection, loads)
+                self.hall.gossip.receive_entry_loads(connection, loads)
             case RequestRuns():
                 self.hall.poison.receive_entry_runs(message)
             case RequestRulings():
@@ -178,14 +178,14 @@
         try:
             match message:
                 case FindReplicas():
-                    return ReplicasAnswer(self.machine.replica_addresses())
+                    return ReplicasAnswer(self.machine.get_replica_addresses())
                 case FetchCatalog(known_revision=known_revision):
                     return self._update_since(known_revision)
                 case SubmitCommand(data=data):
                     await self.commands.propose(data)
                     return Done()
                 case SuspectServers() as suspects:
-                    self.hall.news.receive_replica_suspects(suspects)
+                    self.hall.gossip.receive_replica_suspects(suspects)
                     return Done()
                 case RequestRuns() as runs:
                     self.hall.poison.receive_replica_runs(runs)
@@ -244,17 +244,17 @@
         self.hall.followers.add(follower)
         rulings = self.hall.poison.rulings()
         if rulings.lines:
-            follower.tell_news([CATALOG.encode(rulings)])
+            follower.queue_frames([CATALOG.encode(rulings)])
         limits = self.hall.limits.limits()
         if limits.lines:
-            follower.tell_news([CATALOG.encode(limits)])
+            follower.queue_frames([CATALOG.encode(limits)])
         logger.info(
             "entry %s follows the catalog from revision %d",
             request.entry,
             request.known_revision,
         )
         try:
-            await follower.feed()
+            await follower.run()
         except (CinderwayError, TimeoutError) as error:
             logger.info(
                 "entry %s no longer follows the catalog: %s", request.entry, error
--- a/src/cinderway/control/_daemon.py
+++ b/src/cinderway/control/_daemon.py
@@ -8,7 +8,7 @@
 from cinderway.control._service import ControlService
 from cinderway.membership import Fleet
 from cinderway.replication import DataFolder, Node
-from cinderway.table import TableMachine, founding_state
+from cinderway.table import TableMachine, build_initial_snapshot
 from cinderway.wire import Route
 
 GROUP = "control"
@@ -27,4 +27,4 @@
 def found_control(data_folder: Path, address: Address, first_revision: int) -> None:
     """Initialize a data folder as the first replica of a new control group."""
     folder = DataFolder(data_folder, GROUP, address)
-    folder.found(founding_state(first_revision))
+    folder.found(build_initial_snapshot(first_revision))
--- a/src/cinderway/control/_entry_groups.py
+++ b/src/cinderway/control/_entry_groups.py
@@ -55,7 +55,7 @@
             return
         frame = CATALOG.encode(current)
         for follower in recipients:
-            follower.tell_news([frame])
+            follower.queue_frames([frame])
 
     def _build_list(self, followers: set[Follower], now_ms: int) -> FleetEntries:
         for follower in followers:
--- a/src/cinderway/control/_follower.py
+++ b/src/cinderway/control/_follower.py
@@ -54,24 +54,24 @@
         """Wake the send loop to check for something to send."""
         self._wake_event.set()
 
-    def tell_news(self, frames: list[bytes]) -> None:
+    def queue_frames(self, frames: list[bytes]) -> None:
         """Queue encoded messages behind those queued before."""
         if frames:
             self._queued_frames += frames
             self.wake()
 
-    def tell_hall_entries(self, entries: HallEntries) -> None:
+    def queue_hall_entries(self, entries: HallEntries) -> None:
         """Queue the addresses at which the hall's entries listen to each other."""
         self._hall_entries = entries
         self.wake()
 
-    def tell_verdicts(self, frame: bytes) -> None:
+    def queue_verdicts(self, frame: bytes) -> None:
         """Queue an encoded batch of verdicts if it differs from the last one."""
         if frame != self._verdicts:
             self._verdicts = frame
             self.wake()
 
-    async def feed(self) -> None:
+    async def run(self) -> None:
         """Send what is queued until cancelled.
 
         Raises CinderwayError or TimeoutError if the entry does not accept a message.
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_news.py
@@ -41,7 +41,7 @@
 # Requests cross halls when the own hall has no eligible server left. The requests in
 # flight are sent to other halls at this period; a shorter one would cost more messages
 # between halls than it saves requests.
-AFAR_PAUSE_S = 0.25
+CROSS_HALL_PERIOD_S = 0.25
 # How often the hall's entries are checked for changes; many connect at the same moment.
 HALL_ENTRIES_PERIOD_S = 1.0
 
@@ -104,7 +104,7 @@
             in_flight.record(source, load.server, load.in_flight)
         self._update_pending.set()
 
-    def forget(self, source: Hashable) -> None:
+    def remove_source(self, source: Hashable) -> None:
         """Remove the requests in flight of a disconnected entry or replica."""
         gone = self._entries_in_flight.remove_source(source)
         self._entry_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
@@ -161,12 +161,12 @@
         loads = [CATALOG.encode(message)] * bool(updates.loads)
         for follower in self.followers:
             is_same_hall = follower.data_hall == self.own.data_hall
-            follower.tell_news(suspects + loads if is_same_hall else suspects)
+            follower.queue_frames(suspects + loads if is_same_hall else suspects)
 
     async def _send_to_other_halls(self) -> None:
         """Send other halls' replicas the requests in flight of the entries here."""
         while True:
-            await anyio.sleep(AFAR_PAUSE_S)
+            await anyio.sleep(CROSS_HALL_PERIOD_S)
             pending, self._pending_for_other_halls = (
                 self._pending_for_other_halls,
                 set(),
@@ -196,7 +196,7 @@
             sent_to = local
             addresses = sorted(f.peers_address for f in local if f.peers_address)
             for follower in local:
-                follower.tell_hall_entries(HallEntries(addresses))
+                follower.queue_hall_entries(HallEntries(addresses))
 
     def _other_replicas(self) -> list[Address]:
         return [a for a in self.machine.replicas if a != self.own.address]
--- a/src/cinderway/control/_hall_service.py
+++ b/src/cinderway/control/_hall_service.py
@@ -37,7 +37,7 @@
     """Serves the entries that follow this replica, from its own hall and others."""
 
     machine: CatalogMachine
-    news: HallGossip
+    gossip: HallGossip
     assessor: HallAssessor
     retry_pools: RetryPools
     poison: PoisonGossip
@@ -55,27 +55,27 @@
         retry_pools: RetryPools,
     ) -> "HallService":
         """Build the service of the replica that is announced as `own`."""
-        news = HallGossip(own, machine, calls)
-        poison = PoisonGossip(own.address, machine, calls, lambda: news.followers)
-        limits = LimitGossip(own.address, machine, calls, lambda: news.followers)
-        groups = EntryGroups(own.address, machine, lambda: news.followers)
-        return cls(machine, news, assessor, retry_pools, poison, limits, groups)
+        gossip = HallGossip(own, machine, calls)
+        poison = PoisonGossip(own.address, machine, calls, lambda: gossip.followers)
+        limits = LimitGossip(own.address, machine, calls, lambda: gossip.followers)
+        groups = EntryGroups(own.address, machine, lambda: gossip.followers)
+        return cls(machine, gossip, assessor, retry_pools, poison, limits, groups)
 
     @property
     def followers(self) -> set[Follower]:
         """The entries that follow here."""
-        return self.news.followers
+        return self.gossip.followers
 
     async def run(self) -> None:
         """Judge servers and distribute updates until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.news.run)
+            tasks.start_soon(self.gossip.run)
             tasks.start_soon(self.poison.run)
             tasks.start_soon(self.limits.run)
             tasks.start_soon(self.groups.run)
             await self._send_verdicts()
 
-    def take_evidence(self, batch: EvidenceBatch) -> None:
+    def receive_evidence(self, batch: EvidenceBatch) -> None:
         """Record one entry's observations and credit its requests to the budgets."""
         now_ms = monotonic_ms()
         self.assessor.record_evidence(batch, now_ms)
@@ -90,7 +90,7 @@
                 ",".join(suspects.servers),
                 batch.entry,
             )
-            self.news.receive_entry_suspects(suspects)
+            self.gossip.receive_entry_suspects(suspects)
 
     def grant_retry(self, asked: TakeRetry) -> bool:
         """Consume one retry of the shared budget; return False if none is left."""
@@ -112,4 +112,4 @@
             for follower in self.followers:
                 frame = self.verdicts.get_frame(follower.data_hall)
                 if frame is not None:
-                    follower.tell_verdicts(frame)
+                    follower.queue_verdicts(frame)
--- a/src/cinderway/control/_limit_news.py
+++ b/src/cinderway/control/_limit_news.py
@@ -77,7 +77,7 @@
         pending, self._pending_servers = self._pending_servers, set()
         frame = CATALOG.encode(self._build_message(pending, now_ms))
         for follower in self.followers():
-            follower.tell_news([frame])
+            follower.queue_frames([frame])
         for_replicas, self._pending_for_replicas = self._pending_for_replicas, set()
         if for_replicas:
             self._send_to_replicas(self._build_message(for_replicas, now_ms))
--- a/src/cinderway/control/_poison_news.py
+++ b/src/cinderway/control/_poison_news.py
@@ -121,7 +121,7 @@
         if rulings:
             frame = CATALOG.encode(_build_message(list(rulings.values())))
             for follower in self.followers():
-                follower.tell_news([frame])
+                follower.queue_frames([frame])
         ended, self._pending_ended = self._pending_ended[-MAX_LINES_PER_MESSAGE:], []
         good, self._pending_good = self._pending_good[-MAX_LINES_PER_MESSAGE:], []
         if ended or good:
--- a/src/cinderway/entry/callers/_accounts.py
+++ b/src/cinderway/entry/callers/_accounts.py
@@ -56,7 +56,7 @@
     if accounts is None:
         return ANONYMOUS
     key = parse_api_key(headers)
-    account = accounts.account_of(key) if key is not None else None
+    account = accounts.find_account(key) if key is not None else None
     if account is not None:
         return AccountIdentity(key, account)
     if route.is_public:
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -98,8 +98,8 @@
             self.state.install(self.hall.machine.update_since(0), monotonic_ms())
             self.hall.service.followers.add(self)
             known = self.hall.service.poison.rulings()
-            self.tell_news([CATALOG.encode(known)])
-            self.tell_news([CATALOG.encode(self.hall.service.limits.limits())])
+            self.queue_frames([CATALOG.encode(known)])
+            self.queue_frames([CATALOG.encode(self.hall.service.limits.limits())])
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._reports.send_evidence, self)
                 tasks.start_soon(self._reports.send_loads, self)
@@ -120,7 +120,7 @@
         """End at once, without a word to anybody."""
         self.connections.is_dark = True
         self.hall.service.followers.discard(self)
-        self.hall.service.news.forget(self.name)
+        self.hall.service.gossip.remove_source(self.name)
         self._scope.cancel()
         for scope in self._serving:
             scope.cancel()
@@ -150,16 +150,16 @@
 
     # From the replica.
 
-    def tell_news(self, frames: list[bytes]) -> None:
+    def queue_frames(self, frames: list[bytes]) -> None:
         """Take news of servers, as a follower of the replica does."""
         for frame in frames:
             call_later(self._way_ms, self._hear, frame)
 
-    def tell_verdicts(self, frame: bytes) -> None:
+    def queue_verdicts(self, frame: bytes) -> None:
         """Take verdicts, as a follower of the replica does."""
         call_later(self._way_ms, self._hear, frame)
 
-    def tell_hall_entries(self, entries: HallEntries) -> None:
+    def queue_hall_entries(self, entries: HallEntries) -> None:
         """Take nothing: control never goes away in the model."""
 
     def _hear(self, frame: bytes) -> None:
--- a/src/cinderway/experiment/_halls.py
+++ b/src/cinderway/experiment/_halls.py
@@ -107,10 +107,10 @@
         other = self.halls[address].service
         match message:
             case SuspectServers():
-                hear: Callable = other.news.receive_replica_suspects
+                hear: Callable = other.gossip.receive_replica_suspects
                 call_later(self.experiment.other_hall_ms, hear, message)
             case ServerLoads(servers=loads):
-                hear = other.news.receive_replica_loads
+                hear = other.gossip.receive_replica_loads
                 call_later(self.experiment.other_hall_ms, hear, self.name, loads)
             case RequestRuns():
                 hear = other.poison.receive_replica_runs
@@ -126,11 +126,11 @@
         """Take what an entry of the hall sent."""
         match message:
             case EvidenceBatch() as batch:
-                self.service.take_evidence(batch)
+                self.service.receive_evidence(batch)
             case ServerLoads(servers=loads):
-                self.service.news.receive_entry_loads(entry, loads)
+                self.service.gossip.receive_entry_loads(entry, loads)
             case SuspectServers() as suspects:
-                self.service.news.receive_replica_suspects(suspects)
+                self.service.gossip.receive_replica_suspects(suspects)
             case RequestRuns() as runs:
                 self.service.poison.receive_entry_runs(runs)
             case RequestRulings() as rulings:
--- a/src/cinderway/ledger/_client.py
+++ b/src/cinderway/ledger/_client.py
@@ -86,7 +86,9 @@
         """Record the outcome that an operator determined for a claim in doubt."""
         await self._call(settle, deadline_ms)
 
-    async def in_doubt(self, limit: int, deadline_ms: int) -> list[ClaimRecord]:
+    async def find_claims_in_doubt(
+        self, limit: int, deadline_ms: int
+    ) -> list[ClaimRecord]:
         """Return the claims in doubt of all groups, oldest first, at most `limit`."""
         claims = []
         for group in self._groups:
--- a/src/cinderway/ledger/_machine.py
+++ b/src/cinderway/ledger/_machine.py
@@ -141,9 +141,9 @@
 
     def snapshot(self) -> bytes:
         """Return the whole state, encoded."""
-        return self.freeze()()
+        return self.capture_snapshot()()
 
-    def freeze(self) -> Callable[[], bytes]:
+    def capture_snapshot(self) -> Callable[[], bytes]:
         """Return a function that encodes the state as of this call.
 
         It needs no deep copy: a stored claim is replaced, never modified.
--- a/src/cinderway/replication/_node.py
+++ b/src/cinderway/replication/_node.py
@@ -41,7 +41,7 @@
     def apply(self, index: int, data: bytes) -> Any:
         """Carry out a committed command and return its result."""
 
-    def freeze(self) -> Callable[[], bytes]:
+    def capture_snapshot(self) -> Callable[[], bytes]:
         """Return what encodes the state as of now, later and in another thread.
 
         It must let other threads run every few milliseconds, or heartbeats stop.
@@ -348,7 +348,7 @@
             return
         term = self.core.log.term_at(index)
         membership = self.core.log.membership_at(index).encode()
-        encode = self.state_machine.freeze()
+        encode = self.state_machine.capture_snapshot()
         data = await anyio.to_thread.run_sync(encode)
         snapshot = Snapshot(index, term, membership, data)
         # Messages that came in meanwhile have changed the log in memory only; what
--- a/src/cinderway/table/__init__.py
+++ b/src/cinderway/table/__init__.py
@@ -17,7 +17,7 @@
 )
 from cinderway.table._csv import changes_from_csv, export_csv
 from cinderway.table._edits import Action, Change, Edit, EditAnswer, EditOutcome
-from cinderway.table._machine import TableMachine, founding_state
+from cinderway.table._machine import TableMachine, build_initial_snapshot
 from cinderway.table._rows import (
     COLUMNS,
     TABLE_LEVEL,
@@ -65,6 +65,6 @@
     "changes_from_csv",
     "export_csv",
     "format_cell",
-    "founding_state",
+    "build_initial_snapshot",
     "parse_cell",
 ]
--- a/src/cinderway/table/_machine.py
+++ b/src/cinderway/table/_machine.py
@@ -100,9 +100,9 @@
 
     def snapshot(self) -> bytes:
         """Return the whole state, encoded."""
-        return self.freeze()()
+        return self.capture_snapshot()()
 
-    def freeze(self) -> Callable[[], bytes]:
+    def capture_snapshot(self) -> Callable[[], bytes]:
         """Return a function that encodes the state as of this call.
 
         It needs no deep copy: the parts of the state are immutable.
@@ -154,7 +154,7 @@
             self._forgotten_sequence = forgotten.sequence
 
 
-def founding_state(first_revision: int) -> bytes:
+def build_initial_snapshot(first_revision: int) -> bytes:
     """Return the snapshot of an empty table at a given revision.
 
     Entries never go back to an older revision, so a control group that is created
--- a/tests/catalog/test_accounts.py
+++ b/tests/catalog/test_accounts.py
@@ -74,8 +74,8 @@
     def test_each_key_leads_to_its_account(self):
         rows = [AccountRow(name="a", keys=["k1", "k2"]), AccountRow(name="b")]
         index = AccountIndex(rows)
-        self.assertEqual(index.account_of("k2").name, "a")
-        self.assertIsNone(index.account_of("k3"))
+        self.assertEqual(index.find_account("k2").name, "a")
+        self.assertIsNone(index.find_account("k3"))
 
     def test_neither_rows_nor_the_index_show_a_key(self):
         rows = [AccountRow(name="a", keys=["s3cret"])]
--- a/tests/catalog/test_heartbeats.py
+++ b/tests/catalog/test_heartbeats.py
@@ -11,9 +11,9 @@
     UNKNOWN_START,
     CatalogMirror,
     Register,
-    check_server_id,
-    decode_farewell,
+    decode_deregistration,
     decode_heartbeat,
+    parse_server_id,
 )
 from cinderway.wire import split_address
 from tests.catalog.test_machine import Catalog
@@ -109,14 +109,14 @@
     def test_an_empty_or_too_long_id_is_rejected(self):
         for text in ("", "i" * 201):
             with self.assertRaises(CinderwayError):
-                check_server_id(text)
+                parse_server_id(text)
 
 
 class DeregistrationTests(unittest.TestCase):
     @given(st.binary(max_size=200))
     def test_deregistration_is_accepted_with_any_body(self, body):
-        self.assertGreaterEqual(decode_farewell(SERVER, body), UNKNOWN_START)
+        self.assertGreaterEqual(decode_deregistration(SERVER, body), UNKNOWN_START)
 
     def test_the_body_may_give_the_start_time(self):
-        self.assertEqual(decode_farewell(SERVER, b'{"started_at_ms": 7}'), 7)
-        self.assertEqual(decode_farewell(SERVER, b""), UNKNOWN_START)
+        self.assertEqual(decode_deregistration(SERVER, b'{"started_at_ms": 7}'), 7)
+        self.assertEqual(decode_deregistration(SERVER, b""), UNKNOWN_START)
--- a/tests/catalog/test_machine.py
+++ b/tests/catalog/test_machine.py
@@ -18,7 +18,7 @@
     ServerStatus,
     encode_command,
 )
-from cinderway.catalog._packing import pack, unpack
+from cinderway.catalog._packing import compress_sheet, decompress_sheet
 
 
 def server(number, status=ServerStatus.ACTIVE, address=None):
@@ -149,7 +149,7 @@
         for command in given[:cut]:
             uninterrupted.apply(command)
             original.apply(command)
-        restored.machine.restore(original.machine.freeze()())
+        restored.machine.restore(original.machine.capture_snapshot()())
         restored.index = original.index
         for command in given[cut:]:
             uninterrupted.apply(command)
@@ -212,8 +212,8 @@
             for _ in range(1_700)
         ]
         text = json.dumps({"version": 1, "rows": rows}).encode()
-        self.assertLess(len(pack(text)) * 2, len(text))
-        self.assertEqual(unpack(pack(text)), text)
+        self.assertLess(len(compress_sheet(text)) * 2, len(text))
+        self.assertEqual(decompress_sheet(compress_sheet(text)), text)
 
 
 class DisplacedTests(unittest.TestCase):
@@ -266,5 +266,5 @@
 
     def test_a_snapshot_keeps_displaced_servers(self):
         machine = CatalogMachine()
-        machine.restore(self.catalog.machine.freeze()())
+        machine.restore(self.catalog.machine.capture_snapshot()())
         self.assertFalse(machine.registry.has_left("i-2"))
--- a/tests/catalog/test_starts.py
+++ b/tests/catalog/test_starts.py
@@ -290,7 +290,7 @@
         uninterrupted, restored = Catalog(), Catalog()
         for command in commands[:cut]:
             uninterrupted.apply(command)
-        restored.machine.restore(uninterrupted.machine.freeze()())
+        restored.machine.restore(uninterrupted.machine.capture_snapshot()())
         restored.index = uninterrupted.index
         for command in commands[cut:]:
             uninterrupted.apply(command)
--- a/tests/control/test_follower.py
+++ b/tests/control/test_follower.py
@@ -58,7 +58,7 @@
 
     async def feed_until_blocked(self, *before):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.follower.feed)
+            tasks.start_soon(self.follower.run)
             for change in before:
                 await anyio.wait_all_tasks_blocked()
                 change()
@@ -75,24 +75,24 @@
 
     def test_frames_are_sent_in_the_order_in_which_they_were_queued(self):
         def queue_batches():
-            self.follower.tell_news([b"suspects", b"loads"])
-            self.follower.tell_news([b"suspects again"])
+            self.follower.queue_frames([b"suspects", b"loads"])
+            self.follower.queue_frames([b"suspects again"])
 
         anyio.run(self.feed_until_blocked, queue_batches)
         self.assertEqual(self.sent.frames, [b"suspects", b"loads", b"suspects again"])
 
     def test_unchanged_verdicts_are_sent_once(self):
         def queue_verdicts():
-            self.follower.tell_verdicts(b"verdicts")
+            self.follower.queue_verdicts(b"verdicts")
 
         anyio.run(self.feed_until_blocked, queue_verdicts, queue_verdicts)
         self.assertEqual(self.sent.frames, [b"verdicts"])
 
     async def queue_continuously(self):
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.follower.feed)
+            tasks.start_soon(self.follower.run)
             for _ in range(100):
-                self.follower.tell_news([b"loads"])
+                self.follower.queue_frames([b"loads"])
                 await anyio.sleep(4.5 * HEARTBEAT_S / 100)
             tasks.cancel_scope.cancel()
 
@@ -105,7 +105,7 @@
     async def change_often(self):
         self.has_caught_up = True
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.follower.feed)
+            tasks.start_soon(self.follower.run)
             for number in range(2, 102):
                 self.machine.apply(number, encode_command(self.sheet(number)))
                 self.follower.wake()
@@ -121,7 +121,7 @@
 
     async def stop_accepting(self):
         self.sent.accepts_nothing = True
-        await self.follower.feed()
+        await self.follower.run()
 
     def test_feeding_an_entry_that_accepts_nothing_times_out(self):
         with self.assertRaises(TimeoutError):
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_news.py
@@ -58,10 +58,10 @@
         self.batches = 0
         self.hall_entries = []
 
-    def tell_hall_entries(self, entries):
+    def queue_hall_entries(self, entries):
         self.hall_entries.append(entries.addresses)
 
-    def tell_news(self, frames):
+    def queue_frames(self, frames):
         self.batches += 1
         for frame in frames:
             match CATALOG.decode(frame, peer="x").message:
@@ -150,7 +150,7 @@
         def receive(loads):
             self.receive_entry_loads(loads, "e1")
             self.receive_entry_loads([ServerLoad("i-1", 0.5, 2)], "e2")
-            self.gossip.forget("e1")
+            self.gossip.remove_source("e1")
 
         self.share((receive, [ServerLoad("i-1", 0.25, 5), ServerLoad("i-2", 0.25, 5)]))
         message = [ServerLoad("i-1", 0.5, 2), ServerLoad("i-2", 0.25, 0)]
@@ -166,7 +166,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "AFAR_PAUSE_S", 0.01):
+        with patch.object(_hall_news, "CROSS_HALL_PERIOD_S", 0.01):
             anyio.run(run)
         message = ServerLoads([ServerLoad("i-1", NO_LOAD, 3)])
         self.assertIn(("10.2.0.1:7100", message), self.calls.sent)
--- a/tests/control/test_limit_news.py
+++ b/tests/control/test_limit_news.py
@@ -52,7 +52,7 @@
         self.entry = EntryName(name)
         self.messages = []
 
-    def tell_news(self, frames):
+    def queue_frames(self, frames):
         self.messages += [CATALOG.decode(f, peer="x").message for f in frames]
 
     @property
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -36,7 +36,7 @@
     def __init__(self):
         self.standings = []
 
-    def tell_news(self, frames):
+    def queue_frames(self, frames):
         for frame in frames:
             message = CATALOG.decode(frame, peer="x").message
             self.standings += [line.standing for line in message.lines]
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -9,7 +9,7 @@
     RefuseRequest,
     encode_command,
 )
-from cinderway.catalog._machine import REFUSED_LIMIT
+from cinderway.catalog._machine import MAX_REFUSALS
 from cinderway.control._poison_store import build_due_commands, build_ruling
 from cinderway.poison import END_MEMORY_MS, REFUSED_FOR_MS, PoisonTally, RequestStanding
 
@@ -28,7 +28,7 @@
 def restore_from_snapshot(machine):
     """Return a state machine restored from a snapshot."""
     again = CatalogMachine()
-    again.restore(machine.freeze()())
+    again.restore(machine.capture_snapshot()())
     return again
 
 
@@ -81,9 +81,9 @@
         self.assertEqual(self.machine.revision, 0)
 
     def test_beyond_the_limit_the_oldest_refusals_are_removed(self):
-        for number in range(REFUSED_LIMIT + 2):
+        for number in range(MAX_REFUSALS + 2):
             digest = RequestDigest(number.to_bytes(16))
             command = RefuseRequest(digest, 1, WALL_MS, ["a"], 1)
             self.machine.apply(number + 1, encode_command(command))
-        self.assertEqual(len(self.machine.refused), REFUSED_LIMIT)
+        self.assertEqual(len(self.machine.refused), MAX_REFUSALS)
         self.assertNotIn(RequestDigest((1).to_bytes(16)), self.machine.refused)
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -110,7 +110,7 @@
 
     def test_halls_that_tell_each_other_what_is_under_way_choose_better(self):
         told = missed_share(result_of(self.declared, self.seeds))
-        with patch.object(_hall_news, "AFAR_PAUSE_S", NEVER_S):
+        with patch.object(_hall_news, "CROSS_HALL_PERIOD_S", NEVER_S):
             untold = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(told, 0.9 * untold)
 
--- a/tests/ledger/test_machine.py
+++ b/tests/ledger/test_machine.py
@@ -120,7 +120,7 @@
 
     def test_snapshot_shows_the_state_when_it_was_started(self):
         self.driver.claim("a")
-        encode = self.driver.machine.freeze()
+        encode = self.driver.machine.capture_snapshot()
         self.driver.finish("a", Resolution.RAN)
         restored = LedgerMachine()
         restored.restore(encode())
--- a/tests/replication/test_node.py
+++ b/tests/replication/test_node.py
@@ -25,7 +25,7 @@
     def apply(self, index, data):
         self.commands.append(data)
 
-    def freeze(self):
+    def capture_snapshot(self):
         return lambda: b""
 
     def restore(self, data):
--- a/tests/table/test_machine.py
+++ b/tests/table/test_machine.py
@@ -14,7 +14,7 @@
     Sheet,
     Table,
     TableMachine,
-    founding_state,
+    build_initial_snapshot,
 )
 
 SERVICE = [
@@ -154,7 +154,7 @@
 
     def test_new_table_continues_above_the_given_revision(self):
         machine = TableMachine()
-        machine.restore(founding_state(41))
+        machine.restore(build_initial_snapshot(41))
         answer = machine.apply_edit(edit("a", *SERVICE, *server_changes("s1", 1)))
         self.assertEqual(answer.revision, 42)
 
