--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -113,7 +113,7 @@
         key = server.row.address
         try:
             answer = await connections.send(
-                key, request, "probe", deadline_ms, fresh=True
+                key, request, "probe", deadline_ms, use_new_connection=True
             )
             is_well = answer.status == 200
             await answer.aclose()
--- a/src/cinderway/control/_hall_assessor.py
+++ b/src/cinderway/control/_hall_assessor.py
@@ -202,7 +202,7 @@
             )
         elif was_ejected and not is_ejected:
             self._ejected.remove(server)
-            logger.info("ejection of %s/%s ended", service, server)
+            logger.info("reinstated %s/%s", service, server)
 
     def _update_paces(self) -> list[ServicePace]:
         """Return the response times of all services, updated only on a large change."""
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -140,7 +140,7 @@
     entry_count: int = 1
     # Called with each server whose load or requests in flight changed, if entries share
     # that information.
-    on_load: Callable[[ServerName], None] | None = None
+    on_load_change: Callable[[ServerName], None] | None = None
     # Called with each server that rejected a request as overloaded, if entries share
     # that information.
     on_rejection: Callable[[ServerName], None] | None = None
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -83,7 +83,7 @@
     def __post_init__(self):
         self.evidence.on_alarm = self.record_alarm
         self.evidence.on_late_answer = self.record_late_answer
-        self.board.on_load = self._record_load_change
+        self.board.on_load_change = self._record_load_change
         self.board.on_rejection = self._record_rejection
         self.board.on_good_answer = self._suspicions.record_good
         self.poison.on_refusal = self.board.wake_waiting_requests
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -105,8 +105,8 @@
         not_run=settings.not_run_header,
         seal=settings.seal_header,
         account=settings.account_header,
-        is_echoed=True,
-        passes_own=True,
+        is_attempt_echoed=True,
+        forwards_own_headers=True,
     )
 
 
--- a/src/cinderway/entry/callers/_handler.py
+++ b/src/cinderway/entry/callers/_handler.py
@@ -41,7 +41,7 @@
 from cinderway.entry.callers._run_once import RunOnce
 from cinderway.entry.callers._stream import Streams
 from cinderway.entry.fleet._report_server import ReportServer
-from cinderway.entry.servers._slots import usable_servers
+from cinderway.entry.servers._slots import find_usable_servers
 from cinderway.ledger import Resolution
 from cinderway.limits import Rejected
 from cinderway.poison import RequestDigests
@@ -155,7 +155,7 @@
         self, service: ServiceState, caller: CallerName, remaining_ms: int
     ) -> None:
         # The entries share the slots; requests here wait for this entry's share.
-        slots = sum(server.row.slots for server in usable_servers(service))
+        slots = sum(server.row.slots for server in find_usable_servers(service))
         usable_slots = slots / self.board.entry_count
         decision = service.admission.decide(
             service.row, caller, remaining_ms, usable_slots
@@ -230,7 +230,7 @@
             return
         is_late = (reply.first_byte_ms or duration_ms) > state.row.objective_latency_ms
         is_missed = reply.outcome in ("failed", "broken") or is_late
-        self.reports.count(state.row.name, is_missed)
+        self.reports.record_request(state.row.name, is_missed)
         if is_missed:
             self.metrics.count("objective_missed_total", {"service": service})
 
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -17,7 +17,7 @@
 )
 from cinderway.entry.servers._messages import (
     DEADLINE_HEADER,
-    OWN_NAMES,
+    DEFAULT_HEADER_NAMES,
     BackendRequest,
     HeaderNames,
     Headers,
@@ -152,7 +152,7 @@
 def build_backend_request(
     scope: dict,
     body: bytes,
-    names: HeaderNames = OWN_NAMES,
+    names: HeaderNames = DEFAULT_HEADER_NAMES,
     caller_headers: Headers | None = None,
     account: AccountName | None = None,
 ) -> BackendRequest:
@@ -182,7 +182,7 @@
 
 
 def select_forwarded_headers(
-    headers: Headers, names: HeaderNames = OWN_NAMES
+    headers: Headers, names: HeaderNames = DEFAULT_HEADER_NAMES
 ) -> Headers:
     """Return the headers that are forwarded to the other side."""
     own = {names.deadline, names.expected, names.not_run, names.load, names.leaving}
@@ -194,7 +194,7 @@
         if name not in HOP_BY_HOP
         and name not in also_dropped
         and name not in own
-        and (names.passes_own or not name.startswith(OWN_HEADER_PREFIX))
+        and (names.forwards_own_headers or not name.startswith(OWN_HEADER_PREFIX))
     ]
 
 
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -45,7 +45,7 @@
     ReplicaChoice,
 )
 from cinderway.entry.fleet._sent_times import HeartbeatSendTimes
-from cinderway.entry.fleet._standby import SILENT_LIMIT_S, Standby
+from cinderway.entry.fleet._standby import SILENCE_TIMEOUT_S, Standby
 from cinderway.poison import RequestRulings
 from cinderway.pushback import FleetEntries, ServerLimits
 from cinderway.wire import Connection, Envelope, Identity, connect
@@ -276,12 +276,12 @@
         is_sending_loads = False
         # A single scope whose deadline is moved: opening a new one for each message
         # would cost as much as reading the message.
-        with anyio.fail_after(SILENT_LIMIT_S) as silence_scope:
+        with anyio.fail_after(SILENCE_TIMEOUT_S) as silence_scope:
             while self._choice.is_home(address) or (
                 not self._standby.is_current_at_home
             ):
                 envelope = await connection.receive()
-                silence_scope.deadline = anyio.current_time() + SILENT_LIMIT_S
+                silence_scope.deadline = anyio.current_time() + SILENCE_TIMEOUT_S
                 self._received_at_ms = now_ms = monotonic_ms()
                 self._receive_message(envelope, address, now_ms)
                 if not is_sending_loads and self._choice.is_home(address):
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -45,7 +45,7 @@
         """The route that serves operators' connections."""
         return Route(REPORT, self._serve)
 
-    def count(self, service: ServiceName, is_missed: bool) -> None:
+    def record_request(self, service: ServiceName, is_missed: bool) -> None:
         """Record a request that met or missed its service's objective."""
         counter = self._levels.get(service)
         if counter is None:
--- a/src/cinderway/entry/fleet/_standby.py
+++ b/src/cinderway/entry/fleet/_standby.py
@@ -34,7 +34,7 @@
 logger = logging.getLogger(__name__)
 
 # Three heartbeat intervals of the replica, and some slack.
-SILENT_LIMIT_S = 1.6
+SILENCE_TIMEOUT_S = 1.6
 # Wait this long before fetching a change: a replica with a leader gets it with the
 # leader's heartbeat, at most 250 ms after the leader. A change fetched before the
 # followed replica has sent it would be transferred twice.
@@ -166,7 +166,7 @@
 
         Raises TimeoutError when no message arrives in time.
         """
-        deadline_ms = monotonic_ms() + round(SILENT_LIMIT_S * 1000)
+        deadline_ms = monotonic_ms() + round(SILENCE_TIMEOUT_S * 1000)
         if self._behind_since_ms is not None and not self._is_fetching:
             fetch_at_ms = self._behind_since_ms + FETCH_DELAY_MS
             with anyio.move_on_after(_compute_remaining_s(fetch_at_ms)):
--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -14,8 +14,8 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, AttemptId, ServerName
 from cinderway.entry.servers._messages import (
+    DEFAULT_HEADER_NAMES,
     IDLE_LIMIT_S,
-    OWN_NAMES,
     BackendAnswer,
     BackendRequest,
     HeaderNames,
@@ -130,7 +130,7 @@
     """Pool of idle connections by address; it never holds one that is in use."""
 
     idle_limit: int = 64
-    names: HeaderNames = OWN_NAMES
+    names: HeaderNames = DEFAULT_HEADER_NAMES
     opened: int = 0
     connect_timeout: ConnectTimeout = field(default_factory=ConnectTimeout)
     _idle: dict[Address, deque[_PooledConnection]] = field(default_factory=dict)
@@ -142,18 +142,20 @@
         attempt_id: AttemptId,
         deadline_ms: int,
         *,
-        fresh: bool,
+        use_new_connection: bool,
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
         """Send a request and return the head of its response.
 
         Raises CinderwayError: with step CONNECT nothing was written, so the request
-        did not run; with AWAIT_ANSWER it may have. `fresh` forces a new connection,
+        did not run; with AWAIT_ANSWER it may have. `use_new_connection` forces a new one,
         since a server may close an idle one just while a request is sent on it. If
         `objection` returns an error, it is raised and nothing is written.
         """
-        connection = None if fresh else await self._idle_connection(address)
+        connection = (
+            None if use_new_connection else await self._idle_connection(address)
+        )
         if connection is None:
             connection = await self._connect(address)
         reason = objection()
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -19,7 +19,7 @@
 )
 from cinderway.entry.servers._notes import AttemptRecorder, OutgoingAttempt
 from cinderway.entry.servers._permit import UNLIMITED, Permit
-from cinderway.entry.servers._slots import Slots, WantedSlot
+from cinderway.entry.servers._slots import SlotRequirements, Slots
 from cinderway.judgement import (
     PIECE_BYTES,
     Attempt,
@@ -67,7 +67,7 @@
 
     def __post_init__(self):
         self.slots = Slots(self.board, self.connections, self.evidence)
-        self.notes = AttemptRecorder(self.board, self.evidence, self.metrics)
+        self.recorder = AttemptRecorder(self.board, self.evidence, self.metrics)
 
     def new_attempt_id(self) -> AttemptId:
         """Return an attempt id that is unique in the fleet."""
@@ -101,9 +101,11 @@
         response past `objective_at_ms`, if that is given. If `permit` is withdrawn
         before the request is written, the error has the code of the permit's refusal.
         """
-        wanted = WantedSlot(deadline_ms, exclude, penalties, objective_at_ms, permit)
+        wanted = SlotRequirements(
+            deadline_ms, exclude, penalties, objective_at_ms, permit
+        )
         server = await self.slots.take(service, wanted)
-        self.notes.send(server, monotonic_ms())
+        self.recorder.record_sent(server, monotonic_ms())
         was_tried = server.row.name in exclude
         exclude.add(server.row.name)
         attempt = self.evidence.start_attempt(
@@ -134,7 +136,7 @@
                     await answer.aclose()
         finally:
             self.evidence.end_attempt(attempt)
-            self.notes.end(server)
+            self.recorder.record_end(server)
             service.free_slot()
 
     async def probe(
@@ -157,7 +159,7 @@
                 outgoing, request, deadline_ms, UNLIMITED, is_fresh=False
             )
             try:
-                self.notes.record_head(outgoing, answer, monotonic_ms())
+                self.recorder.record_head(outgoing, answer, monotonic_ms())
                 if not answer.is_shed:
                     self.evidence.record_first_byte(
                         attempt, answer.status, monotonic_ms()
@@ -200,7 +202,7 @@
                     request,
                     outgoing.attempt_id,
                     deadline_ms,
-                    fresh=is_fresh,
+                    use_new_connection=is_fresh,
                     expected=server.row.expected_name,
                     objection=lambda: _check_before_write(outgoing, permit),
                 )
@@ -217,7 +219,7 @@
                 outgoing.token.release()
             if error.step is Step.QUEUE:
                 # Nothing was written, for a reason that is not the server's fault.
-                self.notes.record_held_back(outgoing, error)
+                self.recorder.record_held_back(outgoing, error)
                 raise
             is_unreachable = error.step is Step.CONNECT
             kind = FailureKind.UNREACHABLE if is_unreachable else FailureKind.CUT
@@ -230,7 +232,7 @@
     def _apply_head(self, outgoing: OutgoingAttempt, answer: BackendAnswer) -> None:
         """Apply a response's headers; raise if the server did not run the request."""
         now_ms, server = monotonic_ms(), outgoing.server
-        self.notes.record_head(outgoing, answer, now_ms)
+        self.recorder.record_head(outgoing, answer, now_ms)
         if answer.is_misdirected:
             # Another server now has this address, so the expected server is gone.
             server.is_listed_leaving = True
@@ -242,7 +244,7 @@
         if answer.is_shed:
             self.sheds += 1
             server.pause_until_ms = now_ms + self._shed_pause_ms(outgoing.service)
-            self.notes.record_shed(outgoing, answer, now_ms)
+            self.recorder.record_shed(outgoing, answer, now_ms)
             raise _build_not_run_error(
                 server, ErrorCode.BACKEND_SHED, "the backend server shed the request"
             )
--- a/src/cinderway/entry/servers/_messages.py
+++ b/src/cinderway/entry/servers/_messages.py
@@ -36,8 +36,8 @@
 
     `expected`, `not_run`, `seal` and `account` are empty if servers do not support
     these headers; `account` names the client account that a request belongs to.
-    `is_echoed` means that every response repeats the attempt id, and `passes_own` that
-    headers with our own prefix are forwarded.
+    `is_attempt_echoed` means that every response repeats the attempt id, and
+    `forwards_own_headers` that headers with our own prefix are forwarded.
     """
 
     attempt: bytes = ATTEMPT_HEADER
@@ -49,11 +49,11 @@
     not_run: bytes = b""
     seal: bytes = b""
     account: bytes = b""
-    is_echoed: bool = False
-    passes_own: bool = False
+    is_attempt_echoed: bool = False
+    forwards_own_headers: bool = False
 
 
-OWN_NAMES = HeaderNames()
+DEFAULT_HEADER_NAMES = HeaderNames()
 
 
 @dataclass(frozen=True)
@@ -85,7 +85,7 @@
     headers: Headers
     _response: httpcore.Response
     _connection: ResponseConnection
-    names: HeaderNames = OWN_NAMES
+    names: HeaderNames = DEFAULT_HEADER_NAMES
 
     def header(self, name: bytes) -> bytes | None:
         """Return a header's value, or None."""
@@ -120,7 +120,10 @@
     def describe_mismatch(self, attempt_id: AttemptId) -> str:
         """Return why this cannot be the response to the attempt; "" if it can."""
         names = self.names
-        if names.is_echoed and self.header(names.attempt) != attempt_id.encode():
+        if (
+            names.is_attempt_echoed
+            and self.header(names.attempt) != attempt_id.encode()
+        ):
             return "the response belongs to another request"
         if not names.seal or not OK <= self.status < MULTIPLE_CHOICES:
             return ""
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -45,7 +45,7 @@
     evidence: EvidenceLog
     metrics: Metrics
 
-    def send(self, server: ServerState, now_ms: int) -> None:
+    def record_sent(self, server: ServerState, now_ms: int) -> None:
         """Count a request at once, before the server's next load report includes it."""
         if server.reports_load:
             load = server.reported_load_at(now_ms) + 1 / server.row.slots
@@ -53,7 +53,7 @@
         server.begin_request()
         self._announce_load(server)
 
-    def end(self, server: ServerState) -> None:
+    def record_end(self, server: ServerState) -> None:
         """Count the end of a request, whatever its outcome."""
         server.end_request()
         self._announce_load(server)
@@ -133,5 +133,5 @@
             self.evidence.record_draining(outgoing.attempt)
 
     def _announce_load(self, server: ServerState) -> None:
-        if self.board.on_load is not None:
-            self.board.on_load(server.row.name)
+        if self.board.on_load_change is not None:
+            self.board.on_load_change(server.row.name)
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -26,12 +26,16 @@
 )
 from cinderway.entry.servers._permit import Permit
 from cinderway.judgement import EvidenceLog
-from cinderway.limits import expected_answer_ms, is_hopeless, plan_connections
+from cinderway.limits import (
+    compute_expected_latency_ms,
+    is_queue_too_long,
+    plan_connections,
+)
 from cinderway.routing import Candidate, Penalties, choose_server, connection_subset
 
 
 @dataclass(frozen=True)
-class WantedSlot:
+class SlotRequirements:
     """The requirements of one request for a slot.
 
     Servers in `exclude` were already tried and are used only if no other is free.
@@ -53,7 +57,9 @@
     connections: BackendConnections
     evidence: EvidenceLog
 
-    async def take(self, service: ServiceState, wanted: WantedSlot) -> ServerState:
+    async def take(
+        self, service: ServiceState, wanted: SlotRequirements
+    ) -> ServerState:
         """Return a server with a free slot, waiting for one if there is none.
 
         The caller must count the request at that server at once. Raises CinderwayError.
@@ -66,7 +72,7 @@
             while True:
                 _require_permit(wanted)
                 now_ms = monotonic_ms()
-                found = self._free_server(service, wanted, now_ms)
+                found = self._find_server(service, wanted, now_ms)
                 if found is not None:
                     return service.servers[found.name]
                 give_up_at_ms = wanted.deadline_ms - admission.service_time_ms
@@ -88,7 +94,7 @@
     def _compute_useful_until_ms(
         self,
         service: ServiceState,
-        wanted: WantedSlot,
+        wanted: SlotRequirements,
         now_ms: int,
         give_up_at_ms: float,
     ) -> float:
@@ -106,14 +112,14 @@
             return give_up_at_ms
         return min(timely_until_ms, give_up_at_ms)
 
-    def _free_server(
-        self, service: ServiceState, wanted: WantedSlot, now_ms: int
+    def _find_server(
+        self, service: ServiceState, wanted: SlotRequirements, now_ms: int
     ) -> Candidate | None:
         """Return the server to use now; None if none is free.
 
         Raises CinderwayError if every free server would respond too late.
         """
-        subset = self._choose_subset(usable_servers(service))
+        subset = self._choose_subset(find_usable_servers(service))
         free = find_free_servers(subset, wanted.exclude, now_ms)
         if not free and wanted.exclude:
             # Every other server was already tried: a repeated one is better than none.
@@ -138,7 +144,7 @@
         self,
         service: ServiceState,
         candidates: list[Candidate],
-        wanted: WantedSlot,
+        wanted: SlotRequirements,
         now_ms: int,
     ) -> list[Candidate]:
         """Return the candidates whose queues are short enough for a timely response."""
@@ -149,7 +155,7 @@
         return [
             candidate
             for candidate in candidates
-            if not is_hopeless(
+            if not is_queue_too_long(
                 candidate.next_load,
                 usual_ms,
                 now_ms,
@@ -162,7 +168,7 @@
         self,
         service: ServiceState,
         free: list[ServerState],
-        wanted: WantedSlot,
+        wanted: SlotRequirements,
         now_ms: int,
     ) -> CinderwayError:
         """Build the rejection for the case that even the shortest queue is too long."""
@@ -172,7 +178,7 @@
             ErrorCode.QUEUE_FULL,
             f"servers of {service.row.name} are overloaded: the lowest load is "
             f"{load:.1f} times their slots, the expected latency "
-            f"{expected_answer_ms(load, usual_ms):.0f} ms, "
+            f"{compute_expected_latency_ms(load, usual_ms):.0f} ms, "
             f"{wanted.objective_at_ms - now_ms} ms left until the objective",
             step=Step.QUEUE,
         )
@@ -198,7 +204,7 @@
         return [(server, min(server.row.slots, plan.per_entry)) for server in chosen]
 
 
-def usable_servers(service: ServiceState) -> list[ServerState]:
+def find_usable_servers(service: ServiceState) -> list[ServerState]:
     """Return the servers that may be sent new requests."""
     now_ms = monotonic_ms()
     return [
@@ -208,7 +214,7 @@
     ]
 
 
-def _require_permit(wanted: WantedSlot) -> None:
+def _require_permit(wanted: SlotRequirements) -> None:
     refusal = wanted.permit.refusal()
     if refusal is not None:
         raise refusal
@@ -224,7 +230,7 @@
 
 
 def _build_no_slot_error(service: ServiceState) -> CinderwayError:
-    if not usable_servers(service):
+    if not find_usable_servers(service):
         return CinderwayError(
             ErrorCode.NO_BACKEND_SERVER,
             f"no backend server of {service.row.name} accepts requests",
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -50,7 +50,7 @@
         attempt_id: AttemptId,
         deadline_ms: int,
         *,
-        fresh: bool,
+        use_new_connection: bool,
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
@@ -60,7 +60,7 @@
         if server.is_down:
             # Its kept connections ended with its process, and entries saw that.
             self._idle[address] = 0
-        if not fresh and self._idle[address]:
+        if not use_new_connection and self._idle[address]:
             self._idle[address] -= 1
         else:
             await self._connect(server, way_s)
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -26,7 +26,7 @@
 from cinderway.entry.fleet._allowances import Allowances
 from cinderway.entry.fleet._catalog_reports import CatalogReports
 from cinderway.entry.servers._dispatch import Dispatcher
-from cinderway.entry.servers._messages import OWN_NAMES
+from cinderway.entry.servers._messages import DEFAULT_HEADER_NAMES
 from cinderway.experiment._connections import ModelConnections
 from cinderway.experiment._halls import ModelHall
 from cinderway.experiment._servers import ModelServer
@@ -77,7 +77,11 @@
             budget=self,
         )
         self.handler = RouteHandler(
-            self.state, attempts, OWN_NAMES, Metrics(), Allowances(self._ask_allowances)
+            self.state,
+            attempts,
+            DEFAULT_HEADER_NAMES,
+            Metrics(),
+            Allowances(self._ask_allowances),
         )
         self._reports = CatalogReports(self.name, self.data_hall, self.state)
 
--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -13,7 +13,7 @@
 )
 from cinderway.limits._connect_limit import ConnectTimeout
 from cinderway.limits._connections import ConnectionPlan, plan_connections
-from cinderway.limits._overload import expected_answer_ms, is_hopeless
+from cinderway.limits._overload import compute_expected_latency_ms, is_queue_too_long
 from cinderway.limits._retry_budget import RetryBudget
 from cinderway.limits._retry_pool import RetryPool
 
@@ -30,7 +30,7 @@
     "RetryPool",
     "TokenGrant",
     "TokenRequest",
-    "expected_answer_ms",
-    "is_hopeless",
+    "compute_expected_latency_ms",
+    "is_queue_too_long",
     "plan_connections",
 ]
--- a/src/cinderway/limits/_overload.py
+++ b/src/cinderway/limits/_overload.py
@@ -7,7 +7,7 @@
 """
 
 
-def expected_answer_ms(load: float, usual_ms: float) -> float:
+def compute_expected_latency_ms(load: float, usual_ms: float) -> float:
     """Return how long a server is expected to take for one more request.
 
     `load` is the share of its slots in use, with this request included. Beyond 1, the
@@ -16,7 +16,7 @@
     return usual_ms * max(load, 1.0)
 
 
-def is_hopeless(
+def is_queue_too_long(
     load: float, usual_ms: float, now_ms: int, objective_at_ms: int, deadline_ms: int
 ) -> bool:
     """Whether a server with this load has too long a queue for a request.
@@ -25,7 +25,7 @@
     even an idle server's response would miss it, only the deadline counts: a late
     response is better than none.
     """
-    expected_at_ms = now_ms + expected_answer_ms(load, usual_ms)
+    expected_at_ms = now_ms + compute_expected_latency_ms(load, usual_ms)
     if now_ms + usual_ms <= objective_at_ms:
         return expected_at_ms > objective_at_ms
     return load > 1 and expected_at_ms > deadline_ms
--- a/tests/entry/callers/test_accounts.py
+++ b/tests/entry/callers/test_accounts.py
@@ -97,7 +97,7 @@
             "method": "GET",
             "headers": headers,
         }
-        names = HeaderNames(account=HEADER, passes_own=True)
+        names = HeaderNames(account=HEADER, forwards_own_headers=True)
         sent = build_backend_request(scope, b"", names, kept, "acme").headers
         account_values = []
         for name, value in sent:
--- a/tests/entry/callers/test_relay.py
+++ b/tests/entry/callers/test_relay.py
@@ -31,7 +31,7 @@
         self.assertEqual(headers_for_caller(waiting), [(b"retry-after", b"3")])
 
     def test_the_leaving_header_is_not_forwarded_to_the_caller(self):
-        names = HeaderNames(leaving=b"server-leaving", passes_own=True)
+        names = HeaderNames(leaving=b"server-leaving", forwards_own_headers=True)
         sent = [(b"Server-Leaving", b"1"), (b"x-other", b"1")]
         leaving = BackendAnswer(200, sent, None, None, names)
         self.assertEqual(headers_for_caller(leaving), [(b"x-other", b"1")])
--- a/tests/entry/fleet/test_catalog_follower.py
+++ b/tests/entry/fleet/test_catalog_follower.py
@@ -142,7 +142,7 @@
         self.assertFalse(self.retry_granted_after(400, for_ms=300))
 
     def test_a_replica_that_goes_silent_is_abandoned(self):
-        with patch.object(_catalog_follower, "SILENT_LIMIT_S", 0.01):
+        with patch.object(_catalog_follower, "SILENCE_TIMEOUT_S", 0.01):
             with self.assertRaises(TimeoutError):
                 anyio.run(self.follower._follow, StalledReplica(), HERE)
         self.assertFalse(self.follower.is_following)
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -41,7 +41,7 @@
 def set_load(peers, name, load):
     """Make a server report its load to an entry."""
     server_of(peers, name).record_load(load, monotonic_ms())
-    peers.state.board.on_load(name)
+    peers.state.board.on_load_change(name)
 
 
 def server_of(peers, name):
--- a/tests/entry/fleet/test_platform.py
+++ b/tests/entry/fleet/test_platform.py
@@ -8,7 +8,7 @@
     PlatformList,
     apply_list,
 )
-from cinderway.entry.servers._slots import usable_servers
+from cinderway.entry.servers._slots import find_usable_servers
 from cinderway.limits import RetryBudget
 from cinderway.table import ServerRow, ServiceRow
 
@@ -37,7 +37,7 @@
         self.board = board()
 
     def usable(self):
-        return [s.row.name for s in usable_servers(self.board.services["lookup"])]
+        return [s.row.name for s in find_usable_servers(self.board.services["lookup"])]
 
     def test_server_listed_as_leaving_gets_no_new_work(self):
         apply_list(self.board, listed(InstanceState.LEAVING))
--- a/tests/entry/servers/test_backends.py
+++ b/tests/entry/servers/test_backends.py
@@ -20,8 +20,8 @@
     expected=b"x-expected",
     not_run=b"x-not-run",
     seal=b"x-seal",
-    is_echoed=True,
-    passes_own=True,
+    is_attempt_echoed=True,
+    forwards_own_headers=True,
 )
 REQUEST = BackendRequest(b"GET", b"/x", [(b"host", b"a.example")], b"")
 
@@ -88,7 +88,7 @@
                 REQUEST,
                 attempt,
                 monotonic_ms() + 5_000,
-                fresh=False,
+                use_new_connection=False,
                 expected="i-1",
                 objection=lambda: dict(objections).get(attempt),
             )
--- a/tests/entry/servers/test_queue_check.py
+++ b/tests/entry/servers/test_queue_check.py
@@ -22,7 +22,7 @@
 from cinderway._ids import DataHall, EntryName
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry.servers._permit import UNLIMITED
-from cinderway.entry.servers._slots import Slots, WantedSlot
+from cinderway.entry.servers._slots import SlotRequirements, Slots
 from cinderway.judgement import EvidenceLog, Pace
 from cinderway.routing import Penalties
 from cinderway.table import ServiceRow
@@ -68,7 +68,7 @@
     def take(self):
         """Return the load of the server chosen for one request; None if rejected."""
         now_ms = monotonic_ms()
-        wanted = WantedSlot(
+        wanted = SlotRequirements(
             now_ms + DEADLINE_MS,
             set(),
             Penalties(other_hall=0.7, suspect=5.0),
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -24,7 +24,7 @@
 from cinderway.entry.servers._backends import BackendConnections
 from cinderway.entry.servers._dispatch import Dispatcher
 from cinderway.entry.servers._permit import UNLIMITED
-from cinderway.entry.servers._slots import WantedSlot
+from cinderway.entry.servers._slots import SlotRequirements
 from cinderway.judgement import IN_FLIGHT_MS, SUSPICION_MS, EvidenceLog
 from cinderway.routing import DEFAULT_PENALTIES, Penalties
 
@@ -70,14 +70,14 @@
     def choice(self, penalties=DEFAULT_PENALTIES):
         service = self.state.board.services[SERVICE]
         # Chooses anew each time: no request is counted as sent.
-        wanted = WantedSlot(
+        wanted = SlotRequirements(
             monotonic_ms() + 60_000,
             exclude=set(),
             penalties=penalties,
             objective_at_ms=None,
             permit=UNLIMITED,
         )
-        return self.dispatcher.slots._free_server(service, wanted, monotonic_ms()).name
+        return self.dispatcher.slots._find_server(service, wanted, monotonic_ms()).name
 
     def test_loads_reported_by_another_entry_decide_the_choice_of_server(self):
         self.report_loads(a=1.5, b=0.5)
@@ -99,14 +99,14 @@
     def test_a_sent_request_is_reported_to_other_entries_at_once(self):
         self.report_loads(a=0.5, b=2.0)
         server = self.servers["a"]
-        self.dispatcher.notes.send(server, server.load_known_at_ms)
+        self.dispatcher.recorder.record_sent(server, server.load_known_at_ms)
         now_ms = server.load_known_at_ms
         reported = self.state.pop_loads(now_ms)
         self.assertEqual(reported.servers, [ServerLoad("a", 0.75, in_flight=1)])
         self.assertEqual(self.state.pop_loads(now_ms).servers, [])
 
     def test_no_load_is_reported_for_servers_that_report_none(self):
-        self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
+        self.dispatcher.recorder.record_sent(self.servers["a"], monotonic_ms())
         reported = self.state.pop_loads(monotonic_ms())
         self.assertEqual(reported.servers, [ServerLoad("a", NO_LOAD, in_flight=1)])
         self.assertEqual(self.servers["a"].known_load, 0)
@@ -123,7 +123,7 @@
     def test_requests_in_flight_here_count_if_the_replica_does_not_know_them(self):
         server = self.servers["a"]
         for _ in range(2):
-            self.dispatcher.notes.send(server, monotonic_ms())
+            self.dispatcher.recorder.record_sent(server, monotonic_ms())
         reported = ServerLoads([ServerLoad("a", NO_LOAD, in_flight=1)])
         self.state.receive_fleet_loads(reported, monotonic_ms())
         self.assertEqual(server.fleet_in_flight, 2)
@@ -132,7 +132,7 @@
         self.assertEqual((server.in_flight, server.fleet_in_flight), (0, 0))
 
     def test_all_requests_in_flight_are_reported_to_the_next_replica(self):
-        self.dispatcher.notes.send(self.servers["a"], monotonic_ms())
+        self.dispatcher.recorder.record_sent(self.servers["a"], monotonic_ms())
         self.state.pop_loads(monotonic_ms())
         others = ServerLoads([ServerLoad("a", NO_LOAD, 4), ServerLoad("b", NO_LOAD, 4)])
         self.state.receive_fleet_loads(others, monotonic_ms())
@@ -190,5 +190,5 @@
         state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
         awaited = state.loads_changed
         state.pop_loads(monotonic_ms())
-        board.on_load(ServerName("a"))
+        board.on_load_change(ServerName("a"))
         self.assertTrue(awaited.is_set())
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -138,7 +138,7 @@
 
     def test_what_would_only_lengthen_queues_is_turned_away_at_once(self):
         with_refusals = missed_share(result_of(self.declared, self.seeds))
-        with patch.object(_slots, "is_hopeless", return_value=False):
+        with patch.object(_slots, "is_queue_too_long", return_value=False):
             without = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(with_refusals, 0.85 * without)
 
