--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -149,9 +149,9 @@
         """Send a request and return the head of its response.
 
         Raises CinderwayError: with step CONNECT nothing was written, so the request
-        did not run; with AWAIT_ANSWER it may have. `use_new_connection` forces a new one,
-        since a server may close an idle one just while a request is sent on it. If
-        `objection` returns an error, it is raised and nothing is written.
+        did not run; with AWAIT_ANSWER it may have. `use_new_connection` forces a new
+        connection, since a server may close an idle one just while a request is sent on
+        it. If `objection` returns an error, it is raised and nothing is written.
         """
         connection = (
             None if use_new_connection else await self._idle_connection(address)
--- a/src/cinderway/limits/_allowance_pool.py
+++ b/src/cinderway/limits/_allowance_pool.py
@@ -70,7 +70,7 @@
     """All tokens of one account at one replica.
 
     Guarantee: the number of tokens granted by this pool and used within any window
-    never exceeds the largest limit passed to `take`. This holds when answers are lost
+    never exceeds the largest limit passed to `grant`. This holds when answers are lost
     and when holders stop, restart or become unreachable. It requires that a holder
     uses a token before its lease, counted from when it asked, expires.
     """
