--- a/src/cinderway/control/_allowances.py
+++ b/src/cinderway/control/_allowances.py
@@ -198,7 +198,7 @@
     ) -> TokenGrant:
         state = self._get_state(row.name)
         limit = self._share_of(row) + state.borrowed(now_ms)
-        return state.pool.take(holder, ask, limit, now_ms, LEASE_MS)
+        return state.pool.grant(holder, ask, limit, now_ms, LEASE_MS)
 
     def _lend(
         self, row: AccountRow, replica: Address, ask: TokenRequest, now_ms: int
@@ -207,7 +207,7 @@
         state = self._get_state(row.name)
         state.borrowers.add(replica)
         pool = state.pool
-        answer = pool.take(replica, ask, self._share_of(row), now_ms, self.loan_ms)
+        answer = pool.grant(replica, ask, self._share_of(row), now_ms, self.loan_ms)
         if answer.granted:
             logger.info(
                 "lent %d tokens of account %s to replica %s; %d charged of %.1f",
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -66,7 +66,7 @@
     )
     server = http_server(settings.callers_listen, handler, keep_alive_s=KEEP_ALIVE_S)
     async with anyio.create_task_group() as tasks:
-        watch = SettingsWatch(settings, follower.use_settings)
+        watch = SettingsWatch(settings, follower.apply_settings)
         tasks.start_soon(watch.run)
         tasks.start_soon(keep_running, "catalog follower", follower.run)
         if settings.peers_listen:
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -113,7 +113,7 @@
         )
         self.allowances = Allowances(self._request_allowances)
 
-    def use_settings(self, settings: CatalogEntrySettings) -> None:
+    def apply_settings(self, settings: CatalogEntrySettings) -> None:
         """Apply the settings that may change while the process runs: the seeds."""
         self._choice.seeds = settings.seeds
         logger.info("seeds are now %s", ", ".join(settings.seeds))
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -104,7 +104,7 @@
         wanted = SlotRequirements(
             deadline_ms, exclude, penalties, objective_at_ms, permit
         )
-        server = await self.slots.take(service, wanted)
+        server = await self.slots.acquire(service, wanted)
         self.recorder.record_sent(server, monotonic_ms())
         was_tried = server.row.name in exclude
         exclude.add(server.row.name)
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -57,7 +57,7 @@
     connections: BackendConnections
     evidence: EvidenceLog
 
-    async def take(
+    async def acquire(
         self, service: ServiceState, wanted: SlotRequirements
     ) -> ServerState:
         """Return a server with a free slot, waiting for one if there is none.
--- a/src/cinderway/limits/_allowance_pool.py
+++ b/src/cinderway/limits/_allowance_pool.py
@@ -83,7 +83,7 @@
     _used_count: int = 0
     _leased_count: int = 0
 
-    def take(
+    def grant(
         self,
         holder: Hashable,
         request: TokenRequest,
--- a/tests/entry/servers/test_queue_check.py
+++ b/tests/entry/servers/test_queue_check.py
@@ -76,7 +76,7 @@
             UNLIMITED,
         )
         try:
-            return anyio.run(self.slots.take, self.service, wanted).known_load
+            return anyio.run(self.slots.acquire, self.service, wanted).known_load
         except CinderwayError as error:
             if error.code is not ErrorCode.QUEUE_FULL:
                 raise
--- a/tests/limits/test_allowances.py
+++ b/tests/limits/test_allowances.py
@@ -26,7 +26,7 @@
         self.pool = AllowancePool(WINDOW_MS)
 
     def take(self, holder, limit=10, now_ms=0, **ask):
-        return self.pool.take(holder, TokenRequest(**ask), limit, now_ms, LEASE_MS)
+        return self.pool.grant(holder, TokenRequest(**ask), limit, now_ms, LEASE_MS)
 
     def test_immediate_needs_are_granted_up_to_the_limit(self):
         self.assertEqual(self.take("a", needed=7).granted, 7)
@@ -164,7 +164,7 @@
         answer = None
         if result != "ask lost":
             holder = (entry, self.incarnations[entry])
-            answer = self.pool.take(holder, ask, self.limit, self.now_ms, LEASE_MS)
+            answer = self.pool.grant(holder, ask, self.limit, self.now_ms, LEASE_MS)
         received = answer if result == "answered" else None
         self.leases[entry].end_token_request(received, self.now_ms, sent_ms + LEASE_MS)
 
