--- a/bench/account_sheets.py
+++ b/bench/account_sheets.py
@@ -11,7 +11,7 @@
 
 from bench.figures import ms, table
 from cinderway.catalog import AccountIndex, decode_sheet
-from cinderway.catalog._packing import compress_sheet, decompress_sheet
+from cinderway.catalog._compression import compress_sheet, decompress_sheet
 
 COUNTS = (80, 1_000, 43_000)
 KEYS_AN_ACCOUNT = 2
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -29,7 +29,7 @@
     ModelRoute,
     ModelService,
 )
-from cinderway.pushback import RateTokenBucket, _book
+from cinderway.pushback import RateTokenBucket, _store
 
 SERVICE = ServiceName("payout-desk")
 NAMED_AT_MS = 3_500
@@ -124,7 +124,7 @@
     def share(server, rate_per_s, entry, group):
         return rate_per_s / entries
 
-    return mock.patch.object(_book, "compute_share", share)
+    return mock.patch.object(_store, "compute_share", share)
 
 
 def _saved(bucket: RateTokenBucket, share_per_s: float, now_ms: int) -> None:
@@ -159,8 +159,8 @@
         bucket.share_per_s = bucket.rate_per_s
 
     return [
-        mock.patch.object(_book, "RateTokenBucket", Shared),
-        mock.patch.object(_book.PushbackStore, "_apply_share", use_share),
+        mock.patch.object(_store, "RateTokenBucket", Shared),
+        mock.patch.object(_store.PushbackStore, "_apply_share", use_share),
     ]
 
 
--- a/src/cinderway/catalog/_commands.py
+++ b/src/cinderway/catalog/_commands.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cinderway._ids import Address, DataHall, RequestDigest, ServerName
-from cinderway.catalog._packing import compress_sheet, decompress_sheet
+from cinderway.catalog._compression import compress_sheet, decompress_sheet
 from cinderway.catalog._registry import UNKNOWN_START, RegisteredServer
 
 
--- a/src/cinderway/catalog/_machine.py
+++ b/src/cinderway/catalog/_machine.py
@@ -20,8 +20,8 @@
     Reinstate,
     decode_command,
 )
+from cinderway.catalog._compression import compress_sheet
 from cinderway.catalog._conversation import CatalogUpdate, ReplicaAddress
-from cinderway.catalog._packing import compress_sheet
 from cinderway.catalog._registry import (
     NewestStart,
     RegisteredServer,
--- a/src/cinderway/catalog/_mirror.py
+++ b/src/cinderway/catalog/_mirror.py
@@ -9,8 +9,8 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import ServerName
+from cinderway.catalog._compression import decompress_sheet
 from cinderway.catalog._conversation import CatalogUpdate
-from cinderway.catalog._packing import decompress_sheet
 from cinderway.catalog._registry import RegisteredServer
 from cinderway.catalog._sheet import RouteSheet, decode_sheet
 
--- a/src/cinderway/control/_catalog_http.py
+++ b/src/cinderway/control/_catalog_http.py
@@ -39,7 +39,7 @@
     parse_server_id,
 )
 from cinderway.control._catalog_service import CatalogService
-from cinderway.control._displaced_heard import DisplacedLiveness
+from cinderway.control._displaced_liveness import DisplacedLiveness
 from cinderway.control._refused_heartbeats import RefusedHeartbeats
 
 logger = logging.getLogger(__name__)
--- a/src/cinderway/control/_hall_service.py
+++ b/src/cinderway/control/_hall_service.py
@@ -20,11 +20,11 @@
 from cinderway.control._entry_groups import EntryGroups
 from cinderway.control._follower import Follower
 from cinderway.control._hall_assessor import HallAssessor
-from cinderway.control._hall_news import HallGossip
-from cinderway.control._limit_news import LimitGossip
+from cinderway.control._hall_gossip import HallGossip
+from cinderway.control._limit_gossip import LimitGossip
 from cinderway.control._poison_news import PoisonGossip
 from cinderway.control._retry_pools import RetryPools
-from cinderway.control._verdict_news import VerdictThrottle
+from cinderway.control._verdict_throttle import VerdictThrottle
 
 logger = logging.getLogger(__name__)
 
--- a/src/cinderway/entry/callers/_attempts.py
+++ b/src/cinderway/entry/callers/_attempts.py
@@ -16,12 +16,12 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import ServiceState
 from cinderway.entry.callers._outcomes import OutcomeError, outcome_of_attempt
-from cinderway.entry.callers._policies import compute_hedge_delay_ms
 from cinderway.entry.callers._race import Hedge, race
 from cinderway.entry.callers._relay import WholeAnswer, read_whole_answer
 from cinderway.entry.callers._requests import CallerRequest
+from cinderway.entry.callers._route_policies import compute_hedge_delay_ms
 from cinderway.entry.servers._dispatch import Dispatcher
-from cinderway.entry.servers._holds import HeldBackError
+from cinderway.entry.servers._send_checks import HeldBackError
 from cinderway.ledger import Resolution
 
 SERVER_ERROR = 500
--- a/src/cinderway/entry/callers/_route_handler.py
+++ b/src/cinderway/entry/callers/_route_handler.py
@@ -25,8 +25,8 @@
 from cinderway.entry.callers._attempts import Attempts
 from cinderway.entry.callers._outcomes import OutcomeError
 from cinderway.entry.callers._permits import RequestPermit
-from cinderway.entry.callers._policies import compute_retry_after_s, get_penalties
 from cinderway.entry.callers._reply import Reply, Send
+from cinderway.entry.callers._request_record import RequestRecord
 from cinderway.entry.callers._requests import (
     CallerDisconnectedError,
     CallerRequest,
@@ -35,7 +35,7 @@
     find_header,
     read_body,
 )
-from cinderway.entry.callers._served import RequestRecord
+from cinderway.entry.callers._route_policies import compute_retry_after_s, get_penalties
 from cinderway.entry.fleet._allowances import Allowances
 from cinderway.entry.servers._messages import (
     HeaderNames,
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -38,13 +38,13 @@
     ControlSession,
     ControlSessions,
 )
+from cinderway.entry.fleet._heartbeat_times import HeartbeatSendTimes
 from cinderway.entry.fleet._questions import ReplicaRequests
 from cinderway.entry.fleet._replica_choice import (
     AVOID_MS,
     LEADERLESS_AVOID_MS,
     ReplicaChoice,
 )
-from cinderway.entry.fleet._sent_times import HeartbeatSendTimes
 from cinderway.entry.fleet._standby import SILENCE_TIMEOUT_S, Standby
 from cinderway.poison import RequestRulings
 from cinderway.pushback import FleetEntries, ServerLimits
--- a/src/cinderway/entry/fleet/_standby.py
+++ b/src/cinderway/entry/fleet/_standby.py
@@ -27,8 +27,8 @@
     StandBy,
 )
 from cinderway.entry.fleet._control_sessions import ControlSession, ControlSessions
+from cinderway.entry.fleet._heartbeat_times import HeartbeatSendTimes
 from cinderway.entry.fleet._replica_choice import ReplicaChoice
-from cinderway.entry.fleet._sent_times import HeartbeatSendTimes
 from cinderway.wire import Connection, Envelope, Failure
 
 logger = logging.getLogger(__name__)
--- a/src/cinderway/entry/fleet/_table_follower.py
+++ b/src/cinderway/entry/fleet/_table_follower.py
@@ -15,7 +15,7 @@
 from cinderway._ids import Address
 from cinderway._settings import EntrySettings
 from cinderway.entry._blackboard import Blackboard
-from cinderway.entry.fleet._trust import TrustEvidence, can_trust_table
+from cinderway.entry.fleet._table_trust import TrustEvidence, can_trust_table
 from cinderway.table import (
     TABLE,
     TABLE_LEVEL,
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -12,13 +12,13 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._backends import BackendConnections, ConnectionLostError
-from cinderway.entry.servers._holds import check_rate_limit, check_server
 from cinderway.entry.servers._messages import (
     BackendAnswer,
     BackendRequest,
 )
 from cinderway.entry.servers._notes import AttemptRecorder, OutgoingAttempt
 from cinderway.entry.servers._permit import UNLIMITED, Permit
+from cinderway.entry.servers._send_checks import check_rate_limit, check_server
 from cinderway.entry.servers._slots import SlotRequirements, Slots
 from cinderway.judgement import (
     PIECE_BYTES,
--- a/src/cinderway/entry/servers/_probe.py
+++ b/src/cinderway/entry/servers/_probe.py
@@ -11,8 +11,8 @@
 from cinderway._ids import EntryName
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._dispatch import Dispatcher
-from cinderway.entry.servers._holds import can_accept
 from cinderway.entry.servers._messages import BackendRequest
+from cinderway.entry.servers._send_checks import can_accept
 from cinderway.routing import rendezvous_rank
 
 logger = logging.getLogger(__name__)
--- a/src/cinderway/entry/servers/_slots.py
+++ b/src/cinderway/entry/servers/_slots.py
@@ -19,12 +19,12 @@
     find_free_servers,
     sample_candidates,
 )
-from cinderway.entry.servers._holds import (
+from cinderway.entry.servers._permit import Permit
+from cinderway.entry.servers._send_checks import (
     can_accept,
     check_pushback,
     compute_next_accept_at_ms,
 )
-from cinderway.entry.servers._permit import Permit
 from cinderway.judgement import EvidenceLog
 from cinderway.limits import (
     compute_expected_latency_ms,
--- a/src/cinderway/judgement/__init__.py
+++ b/src/cinderway/judgement/__init__.py
@@ -30,14 +30,14 @@
     compute_floor_slots,
     permitted_ejections,
 )
-from cinderway.judgement._judge import DRAIN_SIGNAL_TTL_MS, ServiceJudge
 from cinderway.judgement._merge import (
     HeldSheet,
     MergedVerdict,
     median_norms,
     merge_sheets,
 )
-from cinderway.judgement._record import ServerRecord, is_withdrawn
+from cinderway.judgement._server_record import ServerRecord, is_withdrawn
+from cinderway.judgement._service_judge import DRAIN_SIGNAL_TTL_MS, ServiceJudge
 from cinderway.judgement._suspicion import (
     IN_FLIGHT_MS,
     SUSPICION_MS,
--- a/src/cinderway/judgement/_assessor.py
+++ b/src/cinderway/judgement/_assessor.py
@@ -21,8 +21,8 @@
     compute_floor_slots,
     permitted_ejections,
 )
-from cinderway.judgement._judge import Reporter, ServiceJudge
-from cinderway.judgement._record import ServerRecord, is_withdrawn
+from cinderway.judgement._server_record import ServerRecord, is_withdrawn
+from cinderway.judgement._service_judge import Reporter, ServiceJudge
 from cinderway.table import ServiceRow, Table
 
 # Older reports are dropped: another server may have the address by now.
--- a/src/cinderway/judgement/_comparison.py
+++ b/src/cinderway/judgement/_comparison.py
@@ -2,7 +2,7 @@
 
 import math
 
-from cinderway.judgement._record import Tally
+from cinderway.judgement._server_record import Tally
 
 # Other halls' observations that are less probable than this at the failing hall's
 # failure rate contradict those of the failing hall.
--- a/src/cinderway/judgement/_merge.py
+++ b/src/cinderway/judgement/_merge.py
@@ -13,7 +13,7 @@
     ServiceNormal,
     VerdictSheet,
 )
-from cinderway.judgement._record import is_withdrawn
+from cinderway.judgement._server_record import is_withdrawn
 
 
 @dataclass(frozen=True)
--- a/src/cinderway/judgement/_judge.py
+++ b/src/cinderway/judgement/_service_judge.py
@@ -21,18 +21,18 @@
 from cinderway._ids import DataHall, EntryName, ServerName
 from cinderway.judgement._comparison import has_contradiction, is_better_half_healthy
 from cinderway.judgement._conversation import ServerEvidence, ServerStanding
-from cinderway.judgement._record import (
-    ObservationBatch,
-    ServerRecord,
-    Tally,
-    is_withdrawn,
-)
 from cinderway.judgement._sequential import (
     THRESHOLDS,
     Window,
     compute_weights,
     reporter_cap,
 )
+from cinderway.judgement._server_record import (
+    ObservationBatch,
+    ServerRecord,
+    Tally,
+    is_withdrawn,
+)
 from cinderway.table import ServiceRow
 
 REPORTER_ACTIVE_MS = 3_000
--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -11,7 +11,7 @@
     TokenGrant,
     TokenRequest,
 )
-from cinderway.limits._connect_limit import ConnectTimeout
+from cinderway.limits._connect_timeout import ConnectTimeout
 from cinderway.limits._connections import ConnectionPlan, plan_connections
 from cinderway.limits._overload import compute_expected_latency_ms, is_queue_too_long
 from cinderway.limits._retry_budget import RetryBudget
--- a/src/cinderway/pushback/__init__.py
+++ b/src/cinderway/pushback/__init__.py
@@ -12,12 +12,13 @@
 one run of the server: a restarted server has none.
 """
 
-from cinderway.pushback._book import (
-    LEAVING_VALID_MS,
-    MAXIMUM_TRACKED_SERVERS,
-    PushbackStore,
-    RateToken,
-    ServerPushback,
+from cinderway.pushback._headers import (
+    MAXIMUM_BACKOFF_MS,
+    NO_PUSHBACK,
+    RETRY_AFTER,
+    UNAVAILABLE,
+    PushbackHeaders,
+    parse_pushback_headers,
 )
 from cinderway.pushback._limits import RateLimit, RateLimitStore
 from cinderway.pushback._messages import FleetEntries, ServerLimit, ServerLimits
@@ -27,15 +28,14 @@
     compute_holder_count,
     compute_share,
 )
-from cinderway.pushback._turns import RateTokenBucket
-from cinderway.pushback._words import (
-    MAXIMUM_BACKOFF_MS,
-    NO_PUSHBACK,
-    RETRY_AFTER,
-    UNAVAILABLE,
-    PushbackHeaders,
-    parse_pushback_headers,
+from cinderway.pushback._store import (
+    LEAVING_VALID_MS,
+    MAXIMUM_TRACKED_SERVERS,
+    PushbackStore,
+    RateToken,
+    ServerPushback,
 )
+from cinderway.pushback._token_bucket import RateTokenBucket
 
 __all__ = [
     "LEAVING_VALID_MS",
--- a/src/cinderway/pushback/_book.py
+++ b/src/cinderway/pushback/_store.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 
 from cinderway._ids import EntryName, ServerName
+from cinderway.pushback._headers import PushbackHeaders
 from cinderway.pushback._limits import RateLimit, RateLimitStore
 from cinderway.pushback._rate_shares import (
     MINIMUM_RATE_PER_S,
     EntryGroup,
     compute_share,
 )
-from cinderway.pushback._turns import RateTokenBucket
-from cinderway.pushback._words import PushbackHeaders
+from cinderway.pushback._token_bucket import RateTokenBucket
 
 # Maximum number of servers whose pushback is kept; the least recently updated ones are
 # evicted first. The value is several times a tenth of the 11,000 servers of the largest
--- a/tests/catalog/test_machine.py
+++ b/tests/catalog/test_machine.py
@@ -18,7 +18,7 @@
     ServerStatus,
     encode_command,
 )
-from cinderway.catalog._packing import compress_sheet, decompress_sheet
+from cinderway.catalog._compression import compress_sheet, decompress_sheet
 
 
 def server(number, status=ServerStatus.ACTIVE, address=None):
--- a/tests/control/test_catalog_http.py
+++ b/tests/control/test_catalog_http.py
@@ -8,7 +8,7 @@
 
 from cinderway.catalog import CatalogMachine, encode_command
 from cinderway.control._catalog_http import CatalogHttp
-from cinderway.control._displaced_heard import ALIVE_AFTER_MS, DisplacedLiveness
+from cinderway.control._displaced_liveness import ALIVE_AFTER_MS, DisplacedLiveness
 
 
 class ModelCommands:
--- a/tests/control/test_displaced_heard.py
+++ b/tests/control/test_displaced_liveness.py
@@ -1,6 +1,6 @@
 import unittest
 
-from cinderway.control._displaced_heard import (
+from cinderway.control._displaced_liveness import (
     ALIVE_AFTER_MS,
     MAX_HEARTBEAT_GAP_MS,
     DisplacedLiveness,
--- a/tests/control/test_hall_news.py
+++ b/tests/control/test_hall_gossip.py
@@ -16,8 +16,8 @@
     SuspectServers,
     encode_command,
 )
-from cinderway.control import _hall_news
-from cinderway.control._hall_news import (
+from cinderway.control import _hall_gossip
+from cinderway.control._hall_gossip import (
     MAX_SENDS_PER_S,
     MIN_BATCH_PERIOD_S,
     HallGossip,
@@ -99,7 +99,7 @@
                 tasks.cancel_scope.cancel()
 
         # The clock stands still, so the remaining time of a suspicion stays the same.
-        with patch.object(_hall_news, "monotonic_ms", lambda: 0):
+        with patch.object(_hall_gossip, "monotonic_ms", lambda: 0):
             anyio.run(run)
 
     def test_loads_are_sent_to_entries_and_replicas_of_the_own_hall(self):
@@ -166,7 +166,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "CROSS_HALL_PERIOD_S", 0.01):
+        with patch.object(_hall_gossip, "CROSS_HALL_PERIOD_S", 0.01):
             anyio.run(run)
         message = ServerLoads([ServerLoad("i-1", NO_LOAD, 3)])
         self.assertIn(("10.2.0.1:7100", message), self.calls.sent)
@@ -215,7 +215,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "MIN_BATCH_PERIOD_S", 1_000_000):
+        with patch.object(_hall_gossip, "MIN_BATCH_PERIOD_S", 1_000_000):
             anyio.run(run)
         self.assertEqual(self.local.loads, LOADS + LOADS)
         self.assertEqual(len(self.local.suspects), 1)
@@ -235,7 +235,7 @@
                         await anyio.sleep(0.001)
                 tasks.cancel_scope.cancel()
 
-        with patch.object(_hall_news, "HALL_ENTRIES_PERIOD_S", 0.001):
+        with patch.object(_hall_gossip, "HALL_ENTRIES_PERIOD_S", 0.001):
             anyio.run(restart)
         self.assertEqual(first.hall_entries, [["10.1.0.9:7101"]])
         self.assertEqual(again.hall_entries, [["10.1.0.9:7101"]])
--- a/tests/control/test_limit_news.py
+++ b/tests/control/test_limit_gossip.py
@@ -7,14 +7,14 @@
 
 from cinderway._ids import Address, DataHall, EntryName, ServerName
 from cinderway.catalog import CATALOG, AnnounceReplica, CatalogMachine, encode_command
-from cinderway.control import _limit_news
+from cinderway.control import _limit_gossip
 from cinderway.control._entry_groups import (
     CHECK_PERIOD_S,
     RETENTION_MS,
     STARTUP_DELAY_S,
     EntryGroups,
 )
-from cinderway.control._limit_news import LimitGossip
+from cinderway.control._limit_gossip import LimitGossip
 from cinderway.experiment._virtual_time import run_in_virtual_time
 from cinderway.pushback import ServerLimit, ServerLimits
 
@@ -108,7 +108,7 @@
         self.assertEqual(self.entry.rates, [1.9, None])
 
     def test_recent_limits_are_resent_for_replicas_that_were_partitioned(self):
-        with patch.object(_limit_news, "RESEND_PERIOD_S", 0.5):
+        with patch.object(_limit_gossip, "RESEND_PERIOD_S", 0.5):
             self.play(
                 lambda: self.gossip.receive_entry_limits(build_limits(1.9)), for_s=1.2
             )
--- a/tests/control/test_verdict_news.py
+++ b/tests/control/test_verdict_throttle.py
@@ -4,7 +4,7 @@
 
 from cinderway._ids import DataHall
 from cinderway.catalog import CATALOG, VerdictBatch, VerdictLine
-from cinderway.control._verdict_news import SHARE_UPDATE_PERIOD_MS, VerdictThrottle
+from cinderway.control._verdict_throttle import SHARE_UPDATE_PERIOD_MS, VerdictThrottle
 
 SUVA, NADI = DataHall("suva"), DataHall("nadi")
 
--- a/tests/entry/fleet/test_sent_times.py
+++ b/tests/entry/fleet/test_heartbeat_times.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from cinderway.entry.fleet._sent_times import MAX_STEP_MS, HeartbeatSendTimes
+from cinderway.entry.fleet._heartbeat_times import MAX_STEP_MS, HeartbeatSendTimes
 
 HEARTBEAT_MS = 500
 
--- a/tests/entry/fleet/test_trust.py
+++ b/tests/entry/fleet/test_table_trust.py
@@ -1,6 +1,10 @@
 import unittest
 
-from cinderway.entry.fleet._trust import LEADER_GRACE_MS, TrustEvidence, can_trust_table
+from cinderway.entry.fleet._table_trust import (
+    LEADER_GRACE_MS,
+    TrustEvidence,
+    can_trust_table,
+)
 
 
 def can_serve(evidence, revision=5, peers=4, waited_ms=LEADER_GRACE_MS):
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -12,9 +12,9 @@
 
 from cinderway._ids import DataHall
 from cinderway.catalog import RouteKind
-from cinderway.control import _hall_news
+from cinderway.control import _hall_gossip
 from cinderway.entry._blackboard import ServerState
-from cinderway.entry.callers import _policies
+from cinderway.entry.callers import _route_policies
 from cinderway.entry.servers import _slots
 from cinderway.experiment import Outcome, by_route, play
 from cinderway.experiment._declaration import Fault, FaultKind
@@ -59,8 +59,8 @@
 
     def test_what_runs_once_is_kept_from_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        light = replace(_policies.ONCE_PENALTIES, suspect=2.0)
-        with patch.object(_policies, "ONCE_PENALTIES", light):
+        light = replace(_route_policies.ONCE_PENALTIES, suspect=2.0)
+        with patch.object(_route_policies, "ONCE_PENALTIES", light):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
 
@@ -110,7 +110,7 @@
 
     def test_halls_that_tell_each_other_what_is_under_way_choose_better(self):
         told = missed_share(result_of(self.declared, self.seeds))
-        with patch.object(_hall_news, "CROSS_HALL_PERIOD_S", NEVER_S):
+        with patch.object(_hall_gossip, "CROSS_HALL_PERIOD_S", NEVER_S):
             untold = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(told, 0.9 * untold)
 
@@ -157,7 +157,7 @@
 
     def test_first_tries_are_kept_from_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        light = replace(_policies.REPEATABLE_PENALTIES, suspect=1.5)
-        with patch.object(_policies, "REPEATABLE_PENALTIES", light):
+        light = replace(_route_policies.REPEATABLE_PENALTIES, suspect=1.5)
+        with patch.object(_route_policies, "REPEATABLE_PENALTIES", light):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
--- a/tests/limits/test_connect_limit.py
+++ b/tests/limits/test_connect_timeout.py
@@ -3,7 +3,7 @@
 from hypothesis import given, strategies as st
 
 from cinderway.limits import ConnectTimeout
-from cinderway.limits._connect_limit import MAXIMUM_TIMEOUT_MS, MINIMUM_TIMEOUT_MS
+from cinderway.limits._connect_timeout import MAXIMUM_TIMEOUT_MS, MINIMUM_TIMEOUT_MS
 
 
 class ConnectLimitTests(unittest.TestCase):
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -37,7 +37,7 @@
 PUSHBACK_TESTS = "tests.entry.servers.test_pushback"
 LIMIT_TESTS = "tests.entry.servers.test_limits"
 SHARE_TESTS = "tests.pushback.test_rate_shares"
-TURN_TESTS = "tests.pushback.test_turns"
+TURN_TESTS = "tests.pushback.test_token_bucket"
 
 GUARDS = [
     Guard(
@@ -234,22 +234,22 @@
         "judgement/_sequential.py",
         "REPORTER_CAP_SHARE = 0.6",
         "REPORTER_CAP_SHARE = 100.0",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "peers are compared with",
-        "judgement/_judge.py",
+        "judgement/_service_judge.py",
         "            if scope is not None and self._has_healthy_peers(",
         "            if scope is not None or self._has_healthy_peers(",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "a hall that sees the server well is not ejected for",
-        "judgement/_judge.py",
+        "judgement/_service_judge.py",
         "        if not has_contradiction(others, tallies[failing]):\n"
         "            return frozenset()\n",
         "        return frozenset()\n",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "late reports are dropped",
@@ -268,10 +268,10 @@
     ),
     Guard(
         "a restarted entry does not go back",
-        "entry/fleet/_trust.py",
+        "entry/fleet/_table_trust.py",
         "revision < evidence.own_revision",
         "False",
-        "tests.entry.fleet.test_trust",
+        "tests.entry.fleet.test_table_trust",
     ),
     Guard(
         "a resumed download is the same version",
@@ -289,7 +289,7 @@
     ),
     Guard(
         "a server that asked for rest is not chosen",
-        "entry/servers/_holds.py",
+        "entry/servers/_send_checks.py",
         "    return server.accepts_requests(now_ms) and "
         "server.pushback.can_accept(now_ms)\n",
         "    return server.accepts_requests(now_ms)\n",
@@ -311,7 +311,7 @@
     ),
     Guard(
         "what a server asked for outlives its listing",
-        "pushback/_book.py",
+        "pushback/_store.py",
         "        return self._servers.get(server) or ServerPushback()\n",
         "        return ServerPushback()\n",
         PUSHBACK_TESTS,
@@ -325,14 +325,14 @@
     ),
     Guard(
         "a server is chosen only where a turn is due",
-        "pushback/_book.py",
+        "pushback/_store.py",
         "        return now_ms >= self.accepts_at_ms(now_ms)\n",
         "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
         "whoever gets a part from_request a rate begins without a turn",
-        "pushback/_turns.py",
+        "pushback/_token_bucket.py",
         "        if not self.share_per_s:\n            self._last_ms = now_ms\n",
         "",
         TURN_TESTS,
