--- a/src/cinderway/_cli/_servers.py
+++ b/src/cinderway/_cli/_servers.py
@@ -32,7 +32,7 @@
     """Return the columns of one line of the list."""
     return [
         server.server_id,
-        server.told_id,
+        server.reported_id,
         _format_time(server.started_at_ms),
         server.service,
         server.data_hall,
--- a/src/cinderway/control/_hall_news.py
+++ b/src/cinderway/control/_hall_gossip.py
@@ -26,7 +26,7 @@
 from cinderway.control._follower import Follower
 from cinderway.control._in_flight import InFlightCounts
 from cinderway.control._tellings import BestEffortSender
-from cinderway.judgement import FADES_MS
+from cinderway.judgement import SUSPICION_MS
 
 # A suspicion decays from its first moment on; sent much later it is worth little.
 REPLICA_SEND_TIMEOUT_S = 0.3
@@ -41,7 +41,7 @@
 # Requests cross halls when the own hall has no eligible server left. The requests in
 # flight are sent to other halls at this period; a shorter one would cost more messages
 # between halls than it saves requests.
-AFAR_PAUSE_S = 0.25
+CROSS_HALL_PERIOD_S = 0.25
 # How often the hall's entries are checked for changes; many connect at the same moment.
 HALL_ENTRIES_PERIOD_S = 1.0
 
@@ -79,12 +79,14 @@
             tasks.start_soon(self._send_to_other_halls)
             tasks.start_soon(self._send_hall_entries)
 
-    def take_loads(self, entry: Hashable, loads: Iterable[ServerLoad]) -> None:
+    def receive_entry_loads(self, entry: Hashable, loads: Iterable[ServerLoad]) -> None:
         """Receive servers' loads from an entry that follows here."""
         self._record_loads(entry, loads, self._entry_updates, self._entries_in_flight)
         self._pending_for_other_halls.update(load.server for load in loads)
 
-    def hear_loads(self, replica: Hashable, loads: Iterable[ServerLoad]) -> None:
+    def receive_replica_loads(
+        self, replica: Hashable, loads: Iterable[ServerLoad]
+    ) -> None:
         """Receive loads from another replica; they are forwarded to entries only."""
         self._record_loads(
             replica, loads, self._replica_updates, self._replicas_in_flight
@@ -102,7 +104,7 @@
             in_flight.record(source, load.server, load.in_flight)
         self._update_pending.set()
 
-    def forget(self, source: Hashable) -> None:
+    def remove_source(self, source: Hashable) -> None:
         """Remove the requests in flight of a disconnected entry or replica."""
         gone = self._entries_in_flight.remove_source(source)
         self._entry_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
@@ -111,13 +113,13 @@
         self._replica_updates.add_loads(ServerLoad(server, NO_LOAD) for server in gone)
         self._update_pending.set()
 
-    def take_suspects(self, suspects: SuspectServers) -> None:
+    def receive_entry_suspects(self, suspects: SuspectServers) -> None:
         """Receive changed suspicions from the entries that follow here."""
         self._entry_updates.add_suspects(suspects, monotonic_ms())
         self._update_pending.set()
         self._new_suspects.set()
 
-    def hear_suspects(self, suspects: SuspectServers) -> None:
+    def receive_replica_suspects(self, suspects: SuspectServers) -> None:
         """Receive suspects from another replica; they are forwarded to entries only."""
         self._replica_updates.add_suspects(suspects, monotonic_ms())
         self._update_pending.set()
@@ -159,12 +161,12 @@
         loads = [CATALOG.encode(message)] * bool(updates.loads)
         for follower in self.followers:
             is_same_hall = follower.data_hall == self.own.data_hall
-            follower.tell_news(suspects + loads if is_same_hall else suspects)
+            follower.queue_frames(suspects + loads if is_same_hall else suspects)
 
     async def _send_to_other_halls(self) -> None:
         """Send other halls' replicas the requests in flight of the entries here."""
         while True:
-            await anyio.sleep(AFAR_PAUSE_S)
+            await anyio.sleep(CROSS_HALL_PERIOD_S)
             pending, self._pending_for_other_halls = (
                 self._pending_for_other_halls,
                 set(),
@@ -194,7 +196,7 @@
             sent_to = local
             addresses = sorted(f.peers_address for f in local if f.peers_address)
             for follower in local:
-                follower.tell_hall_entries(HallEntries(addresses))
+                follower.queue_hall_entries(HallEntries(addresses))
 
     def _other_replicas(self) -> list[Address]:
         return [a for a in self.machine.replicas if a != self.own.address]
@@ -264,10 +266,10 @@
 
 
 def _limit_for_other_halls(suspects: SuspectServers) -> SuspectServers:
-    """Shorten suspicions for other halls to FADES_MS at most.
+    """Shorten suspicions for other halls to SUSPICION_MS at most.
 
     A server may be unreachable from this hall alone; then other halls must not avoid it
     for long.
     """
-    for_ms = [min(remaining_ms, FADES_MS) for remaining_ms in suspects.for_ms]
+    for_ms = [min(remaining_ms, SUSPICION_MS) for remaining_ms in suspects.for_ms]
     return SuspectServers(suspects.servers, for_ms)
--- a/src/cinderway/control/_service.py
+++ b/src/cinderway/control/_service.py
@@ -86,7 +86,7 @@
                 return Done()
 
     async def _follow(self, request: FollowTable) -> TableAnswer:
-        own_revision = self._fleet.hear(request.report, monotonic_ms())
+        own_revision = self._fleet.record_report(request.report, monotonic_ms())
         if request.must_be_current:
             await self._node.read_barrier(BARRIER_TIMEOUT_S)
         else:
@@ -169,7 +169,7 @@
                 heard.report.data_hall,
                 heard.report.address,
                 heard.report.revision,
-                now_ms - heard.heard_at_ms,
+                now_ms - heard.received_at_ms,
                 self._fleet.state_of(heard.report.name, now_ms).value,
             )
             for heard in self._fleet.entries()
--- a/src/cinderway/entry/_catalog_board.py
+++ b/src/cinderway/entry/_catalog_board.py
@@ -28,10 +28,10 @@
 from cinderway.entry._blackboard import Blackboard, ServerState
 from cinderway.entry._poison_watch import PoisonWatch
 from cinderway.judgement import (
-    FADES_MS,
-    UNDER_WAY_MS,
-    Bad,
+    IN_FLIGHT_MS,
+    SUSPICION_MS,
     EvidenceLog,
+    FailureKind,
     Pace,
     Suspicions,
 )
@@ -61,7 +61,7 @@
     # When the followed replica last had the newest catalog.
     current_at_ms: int = 0
     activity: anyio.Event = field(default_factory=anyio.Event)
-    bad_news: anyio.Event = field(default_factory=anyio.Event)
+    has_alarms: anyio.Event = field(default_factory=anyio.Event)
     loads_changed: anyio.Event = field(default_factory=anyio.Event)
     poison: PoisonWatch = field(default_factory=PoisonWatch)
     # Addresses at which the data hall's entries reach each other while control is
@@ -73,7 +73,7 @@
     # Servers that rejected requests of this entry, and until when to avoid each; not
     # reported yet.
     _unreported_rejections: dict[ServerName, int] = field(default_factory=dict)
-    turned_away: anyio.Event = field(default_factory=anyio.Event)
+    has_rejections: anyio.Event = field(default_factory=anyio.Event)
     # Servers whose load is to be reported to the data hall, in order of the changes.
     _unreported_loads: dict[ServerName, None] = field(default_factory=dict)
     _account_rows: list[AccountRow] | None = None
@@ -81,11 +81,11 @@
     _suspicions: Suspicions = field(default_factory=Suspicions)
 
     def __post_init__(self):
-        self.evidence.on_alarm = self.note_alarm
-        self.evidence.on_late_answer = self.note_late_answer
-        self.board.on_load = self._record_load_change
-        self.board.on_turned_away = self._note_turned_away
-        self.board.on_good_answer = self._suspicions.note_good
+        self.evidence.on_alarm = self.record_alarm
+        self.evidence.on_late_answer = self.record_late_answer
+        self.board.on_load_change = self._record_load_change
+        self.board.on_rejection = self._record_rejection
+        self.board.on_good_answer = self._suspicions.record_good
         self.poison.on_refusal = self.board.wake_waiting_requests
 
     @property
@@ -108,19 +108,19 @@
         """Wake the task that reports evidence."""
         self.activity.set()
 
-    def note_alarm(self, server: ServerName, kind: Bad) -> None:
+    def record_alarm(self, server: ServerName, kind: FailureKind) -> None:
         """Suspect a server that failed a request of this entry or is late with one."""
-        until_ms = self._suspicions.note_alarm(server, kind, monotonic_ms())
+        until_ms = self._suspicions.record_alarm(server, kind, monotonic_ms())
         if until_ms is not None:
             self._unreported_suspects[server] = until_ms
             self.suspect(server, until_ms)
-        self.bad_news.set()
+        self.has_alarms.set()
 
-    def note_late_answer(self, server: ServerName) -> None:
+    def record_late_answer(self, server: ServerName) -> None:
         """End the suspicion of a server that was late but does not hang."""
-        if self._suspicions.note_late_answer(server):
+        if self._suspicions.record_late_answer(server):
             self.clear_suspicion(server)
-        self.bad_news.set()
+        self.has_alarms.set()
 
     def suspect(self, server: ServerName, until_ms: int) -> None:
         """Use a server only if no better one is free, until the given time."""
@@ -144,7 +144,7 @@
         self._unreported_loads[server] = None
         self.loads_changed.set()
 
-    def take_loads(self, now_ms: int) -> ServerLoads:
+    def pop_loads(self, now_ms: int) -> ServerLoads:
         """Return the current loads of the servers that changed since the last call."""
         changed, self._unreported_loads = self._unreported_loads, {}
         # An event that is not set may have waiters: it must not be replaced.
@@ -153,12 +153,12 @@
         states = filter(None, map(self._find_server, changed))
         return ServerLoads([_build_server_load(state, now_ms) for state in states])
 
-    def _note_turned_away(self, server: ServerName) -> None:
+    def _record_rejection(self, server: ServerName) -> None:
         """Suspect a server that rejects requests, and report it to the data hall.
 
         Such a server is idle and reports a low load: by load alone every entry would
         choose it first, and requests would be refused while other servers have free
-        slots. The suspicion lasts FADES_MS, whatever pause the server asked this
+        slots. The suspicion lasts SUSPICION_MS, whatever pause the server asked this
         entry for: what it asked of one entry is only a hint to the others, and a
         server that asks every entry for an hour stays in use.
         Nothing is reported if the hall learned of the server a moment ago, so that
@@ -166,24 +166,24 @@
         the number of requests that they reject.
         """
         state = self._find_server(server)
-        until_ms = monotonic_ms() + FADES_MS
-        if state is None or until_ms < state.suspect_until_ms + UNDER_WAY_MS:
+        until_ms = monotonic_ms() + SUSPICION_MS
+        if state is None or until_ms < state.suspect_until_ms + IN_FLIGHT_MS:
             return
         self.suspect(server, until_ms)
         self._unreported_suspects[server] = self._unreported_rejections[server] = (
             until_ms
         )
-        self.turned_away.set()
+        self.has_rejections.set()
 
-    def take_turned_away(self, now_ms: int) -> SuspectServers:
+    def pop_rejecting_servers(self, now_ms: int) -> SuspectServers:
         """Return the servers that rejected requests since the last call."""
         found, self._unreported_rejections = self._unreported_rejections, {}
         # An event that is not set may have waiters: it must not be replaced.
-        if self.turned_away.is_set():
-            self.turned_away = anyio.Event()
+        if self.has_rejections.is_set():
+            self.has_rejections = anyio.Event()
         return _build_suspects(found, now_ms)
 
-    def follow_anew(self) -> None:
+    def reset_for_new_replica(self) -> None:
         """Prepare for another control replica.
 
         Forgets the requests that other entries have in flight, and queues all servers
@@ -195,12 +195,12 @@
                 if server.in_flight:
                     self._record_load_change(name)
 
-    def take_suspects(self, now_ms: int) -> SuspectServers:
+    def pop_suspects(self, now_ms: int) -> SuspectServers:
         """Return the servers suspected here since the last call that still are."""
         found, self._unreported_suspects = self._unreported_suspects, {}
         return _build_suspects(found, now_ms)
 
-    def hear(self, message: Message, now_ms: int) -> None:
+    def receive_message(self, message: Message, now_ms: int) -> None:
         """Apply a message about servers from another process of the data hall."""
         match message:
             case SuspectServers(servers=servers, for_ms=for_ms):
@@ -210,31 +210,31 @@
                     else:
                         self.clear_suspicion(server)
             case ServerLoads():
-                self.hear_loads(message, now_ms)
+                self.receive_loads(message, now_ms)
             case ServerLimits():
-                self.board.hear_limits(message, now_ms)
+                self.board.receive_limits(message, now_ms)
             case FleetEntries(group=group):
-                self.board.use_group(group, now_ms)
+                self.board.apply_group(group, now_ms)
             case RequestRuns():
-                self.poison.hear_runs(message)
+                self.poison.receive_runs(message)
             case RequestRulings():
-                self.poison.hear_rulings(message)
+                self.poison.receive_rulings(message)
 
-    def hear_loads(self, message: ServerLoads, now_ms: int) -> None:
+    def receive_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the loads that other entries of the data hall reported."""
         for reported in message.servers:
             server = self._find_server(reported.server)
             if server is not None and reported.load != NO_LOAD:
-                server.note_load(reported.load, now_ms)
+                server.record_load(reported.load, now_ms)
 
-    def hear_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
+    def receive_fleet_loads(self, message: ServerLoads, now_ms: int) -> None:
         """Apply the replica's loads, including the fleet's requests in flight."""
         for reported in message.servers:
             server = self._find_server(reported.server)
             if server is None:
                 continue
             if reported.load != NO_LOAD:
-                server.note_load(reported.load, now_ms)
+                server.record_load(reported.load, now_ms)
             server.fleet_in_flight = max(reported.in_flight, server.in_flight)
 
     def install(self, update: CatalogUpdate, now_ms: int) -> bool:
@@ -248,7 +248,7 @@
             self.routes = RouteIndex(sheet)
             self._install_accounts(sheet.accounts)
             self._routes_received.set()
-            self.evidence.assume_paces(_compute_objectives(sheet))
+            self.evidence.set_objectives(_compute_objectives(sheet))
         self._refresh(now_ms)
         return True
 
@@ -325,7 +325,7 @@
 
 
 def _build_server_load(server: ServerState, now_ms: int) -> ServerLoad:
-    load = server.told_load_at(now_ms) if server.tells_load else NO_LOAD
+    load = server.reported_load_at(now_ms) if server.reports_load else NO_LOAD
     return ServerLoad(server.row.name, load, server.in_flight)
 
 
@@ -343,15 +343,15 @@
 class _RegisteredRow(ServerRow):
     """A row named after one start of a server, not by the server's own name.
 
-    `told_id` is the name that the server registered with.
+    `reported_id` is the name that the server registered with.
     """
 
-    told_id: ServerName = ServerName("")
+    reported_id: ServerName = ServerName("")
 
     @property
-    def own_name(self) -> ServerName:
+    def expected_name(self) -> ServerName:
         """The name that the server uses for itself."""
-        return self.told_id
+        return self.reported_id
 
 
 def _build_row(server: RegisteredServer, connection_limit: int) -> ServerRow:
@@ -364,5 +364,5 @@
         slots=server.slots,
         connection_limit=connection_limit,
         state=ListedState.LEAVING if is_leaving else ListedState.ACTIVE,
-        told_id=server.told_id,
+        reported_id=server.reported_id,
     )
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -54,7 +54,11 @@
     identity = Identity(settings.name, settings.shared_key)
     follower = CatalogFollower(settings, state, identity, metrics)
     attempts = Attempts(
-        dispatcher, metrics, ANSWER_LIMIT_BYTES, pays_for_sheds=True, budget=follower
+        dispatcher,
+        metrics,
+        ANSWER_LIMIT_BYTES,
+        consumes_budget_for_sheds=True,
+        budget=follower,
     )
     digests = RequestDigests(settings.shared_key)
     handler = RouteHandler(
@@ -62,7 +66,7 @@
     )
     server = http_server(settings.callers_listen, handler, keep_alive_s=KEEP_ALIVE_S)
     async with anyio.create_task_group() as tasks:
-        watch = SettingsWatch(settings, follower.use_settings)
+        watch = SettingsWatch(settings, follower.apply_settings)
         tasks.start_soon(watch.run)
         tasks.start_soon(keep_running, "catalog follower", follower.run)
         if settings.peers_listen:
@@ -71,7 +75,7 @@
                 settings.peers_listen,
                 settings.shared_key,
                 lambda: not follower.is_following,
-                follower.wait_alone,
+                follower.wait_disconnected,
             )
             tasks.start_soon(keep_running, "hall peers", peers.run)
         await tasks.start(
@@ -101,8 +105,8 @@
         not_run=settings.not_run_header,
         seal=settings.seal_header,
         account=settings.account_header,
-        is_echoed=True,
-        passes_own=True,
+        is_attempt_echoed=True,
+        forwards_own_headers=True,
     )
 
 
--- a/src/cinderway/entry/fleet/_assessor_server.py
+++ b/src/cinderway/entry/fleet/_assessor_server.py
@@ -26,7 +26,7 @@
     RequestRuns,
     Ruling,
 )
-from cinderway.pushback import LimitRecord, ServerLimits
+from cinderway.pushback import RateLimitStore, ServerLimits
 from cinderway.wire import Connection, Message, Route
 
 logger = logging.getLogger(__name__)
@@ -60,7 +60,7 @@
         # Rulings on requests that are still to be sent to the connected entries.
         self._unsent_rulings: list[Ruling] = []
         # The rate limits that backend servers ask for, as entries report them.
-        self._limits = LimitRecord()
+        self._limits = RateLimitStore()
         self._unsent_limits: set[ServerName] = set()
         self._board = board
         self._sessions: set[_Session] = set()
@@ -95,17 +95,21 @@
         try:
             # An entry that has just started knows no limits yet.
             now_ms = monotonic_ms()
-            await connection.send(ServerLimits.of(self._limits.held(now_ms), now_ms))
+            await connection.send(
+                ServerLimits.of(self._limits.get_valid(now_ms), now_ms)
+            )
             while True:
                 envelope = await connection.receive()
                 match envelope.message:
                     case EvidenceReport() as report:
                         self._receive_report(session, report)
                     case RequestRuns() as runs:
-                        self._queue_rulings(self.tally.note_runs(runs, monotonic_ms()))
+                        self._queue_rulings(
+                            self.tally.record_runs(runs, monotonic_ms())
+                        )
                     case RequestRulings() as rulings:
                         self._queue_rulings(
-                            self.tally.learn_all(rulings, monotonic_ms())
+                            self.tally.apply_rulings(rulings, monotonic_ms())
                         )
                     case ServerLimits() as limits:
                         self._receive_limits(limits)
@@ -115,7 +119,9 @@
     def _receive_report(self, session: _Session, report: EvidenceReport) -> None:
         session.group = report.group
         session.report_sequence = report.sequence
-        self.assessor.take(report, session.reporter, self._board.table, monotonic_ms())
+        self.assessor.receive_report(
+            report, session.reporter, self._board.table, monotonic_ms()
+        )
         if any(evidence.bad for evidence in report.servers):
             self._decide_now.set()
 
@@ -131,7 +137,7 @@
         """Record servers' rate limits and queue the new ones for the next send."""
         now_ms = monotonic_ms()
         for line in limits.lines:
-            if self._limits.learn(line.server, line.limit(now_ms)):
+            if self._limits.record_limit(line.server, line.limit(now_ms)):
                 self._unsent_limits.add(line.server)
                 self._decide_now.set()
 
@@ -139,7 +145,7 @@
         unsent, self._unsent_limits = self._unsent_limits, set()
         if not unsent:
             return
-        held = self._limits.held(now_ms)
+        held = self._limits.get_valid(now_ms)
         limits = {server: held[server] for server in unsent & held.keys()}
         for session in list(self._sessions):
             await self._send(session, ServerLimits.of(limits, now_ms))
@@ -148,7 +154,9 @@
         rulings, self._unsent_rulings = self._unsent_rulings, []
         if not rulings:
             return
-        message = RequestRulings([RequestRuling.of(r, now_ms) for r in rulings])
+        message = RequestRulings(
+            [RequestRuling.from_ruling(r, now_ms) for r in rulings]
+        )
         for session in list(self._sessions):
             await self._send(session, message)
 
@@ -166,7 +174,7 @@
         )
         session.sent = view
         session.sent_at_ms = now_ms
-        session.reporter.note_sheet(sequence, now_ms)
+        session.reporter.record_sent_sheet(sequence, now_ms)
         await self._send(session, sheet)
 
     async def _send(self, session: _Session, message: Message) -> None:
--- a/src/cinderway/entry/fleet/_table_follower.py
+++ b/src/cinderway/entry/fleet/_table_follower.py
@@ -15,7 +15,7 @@
 from cinderway._ids import Address
 from cinderway._settings import EntrySettings
 from cinderway.entry._blackboard import Blackboard
-from cinderway.entry.fleet._trust import TrustEvidence, can_trust_table
+from cinderway.entry.fleet._table_trust import TrustEvidence, can_trust_table
 from cinderway.table import (
     TABLE,
     TABLE_LEVEL,
@@ -101,7 +101,7 @@
     async def _gossip(self) -> None:
         while True:
             await anyio.sleep(GOSSIP_INTERVAL_S * (0.5 + self.board.rng.random()))
-            self.board.fleet.forget_gone(monotonic_ms())
+            self.board.fleet.drop_gone(monotonic_ms())
             peers = self._peer_addresses()
             if peers:
                 await self._fetch_from_peer(self.board.rng.choice(peers))
@@ -150,7 +150,7 @@
         return FollowTable(self.report(), known, wait_ms, must_be_current)
 
     def _receive_answer(self, answer: TableAnswer) -> None:
-        self.board.fleet.hear_all(answer.heard, monotonic_ms())
+        self.board.fleet.record_reports(answer.heard, monotonic_ms())
         self._trust.record_own_revision(answer.own_revision)
         self._apply_delta(answer.delta)
 
@@ -210,7 +210,7 @@
         if not isinstance(request, FollowTable):
             return _build_not_leader(request, self.settings.listen)
         now_ms = monotonic_ms()
-        own_revision = self.board.fleet.hear(request.report, now_ms)
+        own_revision = self.board.fleet.record_report(request.report, now_ms)
         return TableAnswer(
             delta=self.board.table.delta_since(request.known_revision),
             sequence=0,
--- a/src/cinderway/entry/servers/_backends.py
+++ b/src/cinderway/entry/servers/_backends.py
@@ -14,13 +14,13 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, AttemptId, ServerName
 from cinderway.entry.servers._messages import (
+    DEFAULT_HEADER_NAMES,
     IDLE_LIMIT_S,
-    OWN_NAMES,
     BackendAnswer,
     BackendRequest,
     HeaderNames,
 )
-from cinderway.limits import ConnectLimit
+from cinderway.limits import ConnectTimeout
 from cinderway.wire import split_address
 
 SENDING_STARTED_EVENT = "http11.send_request_headers.started"
@@ -112,7 +112,7 @@
         if event == SENDING_STARTED_EVENT:
             self.has_started_sending = True
 
-    async def give_back(self, response: httpcore.Response | None) -> None:
+    async def release(self, response: httpcore.Response | None) -> None:
         # A connection whose response was not read to the end may still deliver the
         # rest of it. If reused, it would give one caller another caller's response.
         if response is not None and self.is_reusable:
@@ -130,9 +130,9 @@
     """Pool of idle connections by address; it never holds one that is in use."""
 
     idle_limit: int = 64
-    names: HeaderNames = OWN_NAMES
+    names: HeaderNames = DEFAULT_HEADER_NAMES
     opened: int = 0
-    connect_limit: ConnectLimit = field(default_factory=ConnectLimit)
+    connect_timeout: ConnectTimeout = field(default_factory=ConnectTimeout)
     _idle: dict[Address, deque[_PooledConnection]] = field(default_factory=dict)
 
     async def send(
@@ -142,23 +142,25 @@
         attempt_id: AttemptId,
         deadline_ms: int,
         *,
-        fresh: bool,
+        use_new_connection: bool,
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
         """Send a request and return the head of its response.
 
         Raises CinderwayError: with step CONNECT nothing was written, so the request
-        did not run; with AWAIT_ANSWER it may have. `fresh` forces a new connection,
-        since a server may close an idle one just while a request is sent on it. If
-        `objection` returns an error, it is raised and nothing is written.
+        did not run; with AWAIT_ANSWER it may have. `use_new_connection` forces a new
+        connection, since a server may close an idle one just while a request is sent on
+        it. If `objection` returns an error, it is raised and nothing is written.
         """
-        connection = None if fresh else await self._idle_connection(address)
+        connection = (
+            None if use_new_connection else await self._idle_connection(address)
+        )
         if connection is None:
             connection = await self._connect(address)
         reason = objection()
         if reason is not None:
-            await connection.give_back(None)
+            await connection.release(None)
             raise reason
         connection.is_reusable = False
         connection.has_started_sending = False
@@ -175,14 +177,14 @@
             raise _build_attempt_error(connection, address, error) from error
         finally:
             if response is None:
-                await connection.give_back(None)
+                await connection.release(None)
         headers = [(name, value) for name, value in response.headers]
         answer = BackendAnswer(
             response.status, headers, response, connection, self.names
         )
         reason = answer.describe_mismatch(attempt_id)
         if reason:
-            await connection.give_back(None)
+            await connection.release(None)
             raise CinderwayError(
                 ErrorCode.ANSWER_FOREIGN, reason, step=Step.AWAIT_ANSWER, peer=address
             )
@@ -212,11 +214,11 @@
         try:
             # The timeout is adaptive: one fixed for the slowest link would make
             # requests late that meet a dead server on a fast link.
-            with anyio.fail_after(self.connect_limit.limit_ms / 1000):
+            with anyio.fail_after(self.connect_timeout.current_ms / 1000):
                 stream = await anyio.connect_tcp(host.strip("[]"), port)
         except (OSError, TimeoutError) as error:
             if isinstance(error, TimeoutError):
-                self.connect_limit.note_missed()
+                self.connect_timeout.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 f"cannot connect: {error or 'timed out'}",
@@ -224,7 +226,7 @@
                 peer=address,
             ) from error
         self.opened += 1
-        self.connect_limit.note_made(monotonic_ms() - start_ms)
+        self.connect_timeout.record_connect_time(monotonic_ms() - start_ms)
         http_stream = _Stream(stream)
         http = httpcore.AsyncHTTP11Connection(
             httpcore.Origin(b"http", host.encode(), port),
--- a/src/cinderway/entry/servers/_dispatch.py
+++ b/src/cinderway/entry/servers/_dispatch.py
@@ -12,22 +12,22 @@
 from cinderway._operators import Metrics
 from cinderway.entry._blackboard import Blackboard, ServerState, ServiceState
 from cinderway.entry.servers._backends import BackendConnections, ConnectionLostError
-from cinderway.entry.servers._holds import check_rate_limit, check_server
 from cinderway.entry.servers._messages import (
     BackendAnswer,
     BackendRequest,
 )
 from cinderway.entry.servers._notes import AttemptRecorder, OutgoingAttempt
 from cinderway.entry.servers._permit import UNLIMITED, Permit
-from cinderway.entry.servers._slots import Slots, WantedSlot
+from cinderway.entry.servers._send_checks import check_rate_limit, check_server
+from cinderway.entry.servers._slots import SlotRequirements, Slots
 from cinderway.judgement import (
     PIECE_BYTES,
     Attempt,
-    Bad,
     EvidenceLog,
+    FailureKind,
 )
-from cinderway.pushback import Turn
-from cinderway.routing import USUAL_PENALTIES, Penalties
+from cinderway.pushback import RateToken
+from cinderway.routing import DEFAULT_PENALTIES, Penalties
 
 # After a shed, this entry sends the server nothing for about the time that one of its
 # slots stays occupied: the service time multiplied by this share plus a random number
@@ -47,10 +47,10 @@
     started_at_ms: int
     permit: Permit = UNLIMITED
 
-    def note_broken(self) -> None:
+    def record_broken_connection(self) -> None:
         """Record that the connection broke before the end of the response."""
         run_ms = monotonic_ms() - self.started_at_ms
-        self.permit.note_broken_run(self.server.row.name, run_ms)
+        self.permit.record_failed_run(self.server.row.name, run_ms)
 
 
 @dataclass
@@ -67,7 +67,7 @@
 
     def __post_init__(self):
         self.slots = Slots(self.board, self.connections, self.evidence)
-        self.notes = AttemptRecorder(self.board, self.evidence, self.metrics)
+        self.recorder = AttemptRecorder(self.board, self.evidence, self.metrics)
 
     def new_attempt_id(self) -> AttemptId:
         """Return an attempt id that is unique in the fleet."""
@@ -85,7 +85,7 @@
         *,
         exclude: set[ServerName],
         is_repeatable: bool,
-        penalties: Penalties = USUAL_PENALTIES,
+        penalties: Penalties = DEFAULT_PENALTIES,
         objective_at_ms: int | None = None,
         permit: Permit = UNLIMITED,
     ) -> AsyncIterator[Exchange]:
@@ -101,18 +101,22 @@
         response past `objective_at_ms`, if that is given. If `permit` is withdrawn
         before the request is written, the error has the code of the permit's refusal.
         """
-        wanted = WantedSlot(deadline_ms, exclude, penalties, objective_at_ms, permit)
-        server = await self.slots.take(service, wanted)
-        self.notes.send(server, monotonic_ms())
+        wanted = SlotRequirements(
+            deadline_ms, exclude, penalties, objective_at_ms, permit
+        )
+        server = await self.slots.acquire(service, wanted)
+        self.recorder.record_sent(server, monotonic_ms())
         was_tried = server.row.name in exclude
         exclude.add(server.row.name)
-        attempt = self.evidence.begin(service.row.name, server.row.name, monotonic_ms())
+        attempt = self.evidence.start_attempt(
+            service.row.name, server.row.name, monotonic_ms()
+        )
         outgoing = OutgoingAttempt(
-            service, server, attempt, attempt_id, Turn(server.pushback)
+            service, server, attempt, attempt_id, RateToken(server.pushback)
         )
         # Acquired now, so that no other request gets the same token. Whether it was
         # granted is checked just before the request is written.
-        outgoing.token.take(monotonic_ms())
+        outgoing.token.acquire(monotonic_ms())
         is_fresh = not is_repeatable
         try:
             try:
@@ -124,15 +128,15 @@
                     exclude.discard(server.row.name)
                 raise
             try:
-                started_at_ms = attempt.mark_ms
+                started_at_ms = attempt.piece_started_at_ms
                 self._apply_head(outgoing, answer)
                 yield Exchange(answer, server, attempt, started_at_ms, permit)
             finally:
                 with anyio.CancelScope(shield=True):
                     await answer.aclose()
         finally:
-            self.evidence.end(attempt)
-            self.notes.end(server)
+            self.evidence.end_attempt(attempt)
+            self.recorder.record_end(server)
             service.free_slot()
 
     async def probe(
@@ -143,10 +147,10 @@
         deadline_ms: int,
     ) -> None:
         """Send a probe to one server, without a slot; record the result as evidence."""
-        attempt = self.evidence.begin(
+        attempt = self.evidence.start_attempt(
             service.row.name, server.row.name, monotonic_ms(), is_probe=True
         )
-        token = Turn(server.pushback)
+        token = RateToken(server.pushback)
         outgoing = OutgoingAttempt(
             service, server, attempt, self.new_attempt_id(), token
         )
@@ -155,15 +159,17 @@
                 outgoing, request, deadline_ms, UNLIMITED, is_fresh=False
             )
             try:
-                self.notes.record_head(outgoing, answer, monotonic_ms())
+                self.recorder.record_head(outgoing, answer, monotonic_ms())
                 if not answer.is_shed:
-                    self.evidence.first_byte(attempt, answer.status, monotonic_ms())
+                    self.evidence.record_first_byte(
+                        attempt, answer.status, monotonic_ms()
+                    )
                     await self._read_probe(answer, attempt, deadline_ms)
             finally:
                 with anyio.CancelScope(shield=True):
                     await answer.aclose()
         finally:
-            self.evidence.end(attempt)
+            self.evidence.end_attempt(attempt)
 
     async def _read_probe(
         self, answer: BackendAnswer, attempt: Attempt, deadline_ms: int
@@ -174,7 +180,7 @@
             async for chunk in answer.chunks():
                 size_bytes += len(chunk)
         if size_bytes >= PIECE_BYTES:
-            self.evidence.piece_end(attempt, monotonic_ms())
+            self.evidence.record_piece_end(attempt, monotonic_ms())
 
     async def _send(
         self,
@@ -196,12 +202,12 @@
                     request,
                     outgoing.attempt_id,
                     deadline_ms,
-                    fresh=is_fresh,
-                    expected=server.row.own_name,
+                    use_new_connection=is_fresh,
+                    expected=server.row.expected_name,
                     objection=lambda: _check_before_write(outgoing, permit),
                 )
         except TimeoutError as error:
-            self.evidence.fail(attempt, Bad.OVERDUE)
+            self.evidence.record_failure(attempt, FailureKind.OVERDUE)
             raise CinderwayError(
                 ErrorCode.DEADLINE_PASSED,
                 "no response before the deadline",
@@ -210,23 +216,23 @@
             ) from error
         except CinderwayError as error:
             if error.step in (Step.QUEUE, Step.CONNECT):
-                outgoing.token.give_back()
+                outgoing.token.release()
             if error.step is Step.QUEUE:
                 # Nothing was written, for a reason that is not the server's fault.
-                self.notes.record_held_back(outgoing, error)
+                self.recorder.record_held_back(outgoing, error)
                 raise
             is_unreachable = error.step is Step.CONNECT
-            kind = Bad.UNREACHABLE if is_unreachable else Bad.CUT
-            self.evidence.fail(attempt, kind)
+            kind = FailureKind.UNREACHABLE if is_unreachable else FailureKind.CUT
+            self.evidence.record_failure(attempt, kind)
             if isinstance(error, ConnectionLostError):
-                run_ms = monotonic_ms() - attempt.mark_ms
-                permit.note_broken_run(server.row.name, run_ms)
+                run_ms = monotonic_ms() - attempt.piece_started_at_ms
+                permit.record_failed_run(server.row.name, run_ms)
             raise
 
     def _apply_head(self, outgoing: OutgoingAttempt, answer: BackendAnswer) -> None:
         """Apply a response's headers; raise if the server did not run the request."""
         now_ms, server = monotonic_ms(), outgoing.server
-        self.notes.record_head(outgoing, answer, now_ms)
+        self.recorder.record_head(outgoing, answer, now_ms)
         if answer.is_misdirected:
             # Another server now has this address, so the expected server is gone.
             server.is_listed_leaving = True
@@ -238,11 +244,11 @@
         if answer.is_shed:
             self.sheds += 1
             server.pause_until_ms = now_ms + self._shed_pause_ms(outgoing.service)
-            self.notes.record_shed(outgoing, answer, now_ms)
+            self.recorder.record_shed(outgoing, answer, now_ms)
             raise _build_not_run_error(
                 server, ErrorCode.BACKEND_SHED, "the backend server shed the request"
             )
-        self.evidence.first_byte(outgoing.attempt, answer.status, now_ms)
+        self.evidence.record_first_byte(outgoing.attempt, answer.status, now_ms)
 
     def _shed_pause_ms(self, service: ServiceState) -> int:
         share = SHED_PAUSE_SHARE + self.board.rng.random()
--- a/src/cinderway/entry/servers/_messages.py
+++ b/src/cinderway/entry/servers/_messages.py
@@ -9,7 +9,7 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._ids import Address, AttemptId
-from cinderway.pushback import ServerWords, words_of
+from cinderway.pushback import PushbackHeaders, parse_pushback_headers
 
 # How long a connection may be idle if its server announces no keep-alive timeout.
 IDLE_LIMIT_S = 30.0
@@ -36,8 +36,8 @@
 
     `expected`, `not_run`, `seal` and `account` are empty if servers do not support
     these headers; `account` names the client account that a request belongs to.
-    `is_echoed` means that every response repeats the attempt id, and `passes_own` that
-    headers with our own prefix are forwarded.
+    `is_attempt_echoed` means that every response repeats the attempt id, and
+    `forwards_own_headers` that headers with our own prefix are forwarded.
     """
 
     attempt: bytes = ATTEMPT_HEADER
@@ -49,11 +49,11 @@
     not_run: bytes = b""
     seal: bytes = b""
     account: bytes = b""
-    is_echoed: bool = False
-    passes_own: bool = False
+    is_attempt_echoed: bool = False
+    forwards_own_headers: bool = False
 
 
-OWN_NAMES = HeaderNames()
+DEFAULT_HEADER_NAMES = HeaderNames()
 
 
 @dataclass(frozen=True)
@@ -73,7 +73,7 @@
     is_reusable: bool
     idle_limit_ms: int
 
-    async def give_back(self, response: httpcore.Response | None) -> None:
+    async def release(self, response: httpcore.Response | None) -> None:
         """Return it to the pool for reuse, or close it."""
 
 
@@ -85,7 +85,7 @@
     headers: Headers
     _response: httpcore.Response
     _connection: ResponseConnection
-    names: HeaderNames = OWN_NAMES
+    names: HeaderNames = DEFAULT_HEADER_NAMES
 
     def header(self, name: bytes) -> bytes | None:
         """Return a header's value, or None."""
@@ -94,9 +94,9 @@
                 return value
         return None
 
-    def parse_pushback(self, wall_clock_ms: int) -> ServerWords:
+    def parse_pushback(self, wall_clock_ms: int) -> PushbackHeaders:
         """Parse the pushback in the response."""
-        return words_of(
+        return parse_pushback_headers(
             self.status,
             self.headers,
             is_shed=self.is_shed,
@@ -120,7 +120,10 @@
     def describe_mismatch(self, attempt_id: AttemptId) -> str:
         """Return why this cannot be the response to the attempt; "" if it can."""
         names = self.names
-        if names.is_echoed and self.header(names.attempt) != attempt_id.encode():
+        if (
+            names.is_attempt_echoed
+            and self.header(names.attempt) != attempt_id.encode()
+        ):
             return "the response belongs to another request"
         if not names.seal or not OK <= self.status < MULTIPLE_CHOICES:
             return ""
@@ -154,4 +157,4 @@
 
     async def aclose(self) -> None:
         """Give the connection back if the body was read whole, else close it."""
-        await self._connection.give_back(self._response)
+        await self._connection.release(self._response)
--- a/src/cinderway/entry/servers/_permit.py
+++ b/src/cinderway/entry/servers/_permit.py
@@ -11,7 +11,7 @@
     """
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether the request may still be sent."""
         return self.refusal() is None
 
@@ -23,14 +23,14 @@
         """
         return None
 
-    async def renew(self) -> bool:
+    async def acquire_rerun(self) -> bool:
         """Pay for resending a request that may have run; return False if refused."""
         return True
 
-    def note_broken_run(self, server: ServerName, run_ms: int) -> None:
+    def record_failed_run(self, server: ServerName, run_ms: int) -> None:
         """Record that a connection broke while the server had the request."""
 
-    def note_good_run(self) -> None:
+    def record_successful_run(self) -> None:
         """Record that a server answered the request successfully."""
 
 
--- a/src/cinderway/entry/servers/_holds.py
+++ b/src/cinderway/entry/servers/_send_checks.py
@@ -6,7 +6,7 @@
 
 from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
 from cinderway.entry._blackboard import ServerState, ServiceState
-from cinderway.pushback import Turn
+from cinderway.pushback import RateToken
 
 
 class HeldBackError(CinderwayError):
@@ -28,7 +28,7 @@
             f"its requested backoff has {left_ms} ms left",
         )
     is_listed = service.servers.get(server.row.name) is server
-    if not is_listed or not server.takes_work(now_ms):
+    if not is_listed or not server.accepts_requests(now_ms):
         return _build_error(
             server, ErrorCode.BACKEND_LEAVES, "it accepts no new requests"
         )
@@ -37,24 +37,24 @@
 
 def can_accept(server: ServerState, now_ms: int) -> bool:
     """Whether a listed server accepts new requests, regardless of ejection."""
-    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)
+    return server.accepts_requests(now_ms) and server.pushback.can_accept(now_ms)
 
 
 def check_rate_limit(
-    server: ServerState, token: Turn, now_ms: int
+    server: ServerState, token: RateToken, now_ms: int
 ) -> HeldBackError | None:
     """Return the error if a server's rate limit does not allow a request, else None.
 
     If the request is allowed, it acquires a token unless it already has one.
     """
-    if token.take(now_ms):
+    if token.acquire(now_ms):
         return None
-    turns = server.pushback.turns
+    bucket = server.pushback.bucket
     return _build_error(
         server,
         ErrorCode.BACKEND_LIMITED,
-        f"its rate limit is {turns.rate_per_s:g} requests/s for all entries, "
-        f"{turns.share_per_s:g} of them for this one",
+        f"its rate limit is {bucket.rate_per_s:g} requests/s for all entries, "
+        f"{bucket.share_per_s:g} of them for this one",
     )
 
 
@@ -71,7 +71,7 @@
     available = [
         server
         for server in service.servers.values()
-        if server.takes_work(now_ms) and not server.is_ejected
+        if server.accepts_requests(now_ms) and not server.is_ejected
     ]
     until_ms = max(now_ms, give_up_at_ms)
     capacity = sum(
--- a/src/cinderway/experiment/_connections.py
+++ b/src/cinderway/experiment/_connections.py
@@ -18,7 +18,7 @@
 from cinderway.entry.servers._messages import BackendAnswer, BackendRequest
 from cinderway.experiment._declaration import Experiment, PoisonRequest
 from cinderway.experiment._servers import ModelServer, RunAbortedError, ServerAnswer
-from cinderway.limits import ConnectLimit
+from cinderway.limits import ConnectTimeout
 
 
 @dataclass
@@ -39,7 +39,7 @@
     cross_hall_bytes: int = 0
     is_dark: bool = False
     _idle: Counter[Address] = field(default_factory=Counter)
-    _connect_limit: ConnectLimit = field(default_factory=ConnectLimit)
+    _connect_timeout: ConnectTimeout = field(default_factory=ConnectTimeout)
 
     def __post_init__(self):
         self._has_poison_requests = bool(self.experiment.poison)
@@ -51,7 +51,7 @@
         attempt_id: AttemptId,
         deadline_ms: int,
         *,
-        fresh: bool,
+        use_new_connection: bool,
         expected: ServerName | None = None,
         objection: Objection = no_objection,
     ) -> BackendAnswer:
@@ -66,7 +66,7 @@
         if server.is_down:
             # Its idle connections closed with its process, and entries noticed.
             self._idle[address] = 0
-        if not fresh and self._idle[address]:
+        if not use_new_connection and self._idle[address]:
             self._idle[address] -= 1
         else:
             await self._connect(server, one_way_s)
@@ -92,7 +92,7 @@
             answer.status, answer.headers, _ModelBody(size), connection
         )
 
-    def give_back(self, address: Address) -> None:
+    def release(self, address: Address) -> None:
         """Return a connection to the idle pool, for the next request."""
         self._idle[address] = min(self._idle[address] + 1, self.idle_limit)
 
@@ -102,8 +102,8 @@
 
     async def _connect(self, server: ModelServer, one_way_s: float) -> None:
         if server.is_dark:
-            await anyio.sleep(self._connect_limit.limit_ms / 1000)
-            self._connect_limit.note_missed()
+            await anyio.sleep(self._connect_timeout.current_ms / 1000)
+            self._connect_timeout.record_timeout()
             raise CinderwayError(
                 ErrorCode.BACKEND_FAILED,
                 "cannot connect: timed out",
@@ -118,7 +118,7 @@
                 step=Step.CONNECT,
                 peer=server.address,
             )
-        self._connect_limit.note_made(2000 * one_way_s)
+        self._connect_timeout.record_connect_time(2000 * one_way_s)
         self.opened += 1
 
     async def _run_on_server(
@@ -201,6 +201,6 @@
     is_reusable: bool = False
     idle_limit_ms: int = 0
 
-    async def give_back(self, response: object) -> None:
+    async def release(self, response: object) -> None:
         if self.is_reusable:
-            self.pool.give_back(self.address)
+            self.pool.release(self.address)
--- a/src/cinderway/experiment/_entries.py
+++ b/src/cinderway/experiment/_entries.py
@@ -29,7 +29,7 @@
 from cinderway.entry.fleet._allowances import Allowances
 from cinderway.entry.fleet._catalog_reports import CatalogReports
 from cinderway.entry.servers._dispatch import Dispatcher
-from cinderway.entry.servers._messages import OWN_NAMES
+from cinderway.entry.servers._messages import DEFAULT_HEADER_NAMES
 from cinderway.experiment._connections import ModelConnections
 from cinderway.experiment._halls import ModelHall
 from cinderway.experiment._servers import ModelServer
@@ -79,10 +79,18 @@
         )
         dispatcher = Dispatcher(board, self.connections, evidence)
         attempts = Attempts(
-            dispatcher, Metrics(), ANSWER_LIMIT_BYTES, pays_for_sheds=True, budget=self
+            dispatcher,
+            Metrics(),
+            ANSWER_LIMIT_BYTES,
+            consumes_budget_for_sheds=True,
+            budget=self,
         )
         self.handler = RouteHandler(
-            self.state, attempts, OWN_NAMES, Metrics(), Allowances(self._ask_allowances)
+            self.state,
+            attempts,
+            DEFAULT_HEADER_NAMES,
+            Metrics(),
+            Allowances(self._ask_allowances),
         )
         self._reports = CatalogReports(self.name, self.data_hall, self.state)
 
@@ -103,13 +111,13 @@
             self.state.install(self.hall.machine.update_since(0), monotonic_ms())
             self.hall.service.followers.add(self)
             rulings = self.hall.service.poison.rulings()
-            self.tell_news([CATALOG.encode(rulings)])
-            self.tell_news([CATALOG.encode(self.hall.service.limits.limits())])
+            self.queue_frames([CATALOG.encode(rulings)])
+            self.queue_frames([CATALOG.encode(self.hall.service.limits.limits())])
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._reports.send_evidence, self)
                 tasks.start_soon(self._reports.send_loads, self)
-                tasks.start_soon(self._reports.send_runs, self)
-                tasks.start_soon(self._reports.send_turned_away, self)
+                tasks.start_soon(self._reports.send_ended_runs, self)
+                tasks.start_soon(self._reports.send_rejecting_servers, self)
                 tasks.start_soon(self._reports.send_limits, self)
 
     async def serve(self, scope: dict, receive: Callable, send: Callable) -> None:
@@ -128,7 +136,7 @@
         """Stop at once, without closing connections or notifying anyone."""
         self.connections.is_dark = True
         self.hall.service.followers.discard(self)
-        self.hall.service.news.forget(self.name)
+        self.hall.service.gossip.remove_source(self.name)
         self._lifetime.cancel()
         for scope in self._request_scopes:
             scope.cancel()
@@ -142,11 +150,11 @@
     async def aclose(self) -> None:
         """Do nothing: simulated links never fail."""
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Record a new request, for the retry budget of its service."""
         self._reports.first_requests[service.row.name] += 1
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Acquire a retry from the budget that all entries of the hall share.
@@ -154,23 +162,23 @@
         False if the budget is exhausted.
         """
         await anyio.sleep(2 * self._one_way_ms / 1000)
-        return self.hall.service.take_retry(TakeRetry(service.row.name, after_failure))
+        return self.hall.service.grant_retry(TakeRetry(service.row.name, after_failure))
 
     async def _ask_allowances(self, asked: AskAllowances, timeout_s: float) -> None:
         """Do nothing: the model has no client accounts, so no allowances."""
 
     # From the control replica; methods of Follower.
 
-    def tell_news(self, frames: list[bytes]) -> None:
+    def queue_frames(self, frames: list[bytes]) -> None:
         """Receive encoded messages about servers after the link's latency."""
         for frame in frames:
             call_later(self._one_way_ms, self._receive_frame, frame)
 
-    def tell_verdicts(self, frame: bytes) -> None:
+    def queue_verdicts(self, frame: bytes) -> None:
         """Receive an encoded batch of verdicts after the link's latency."""
         call_later(self._one_way_ms, self._receive_frame, frame)
 
-    def tell_hall_entries(self, entries: HallEntries) -> None:
+    def queue_hall_entries(self, entries: HallEntries) -> None:
         """Do nothing: entries need the list of the hall's other entries only while no
         control replica is reachable, and the model's replicas never fail.
         """
@@ -180,6 +188,6 @@
             case VerdictBatch() as verdicts:
                 self.state.apply(verdicts)
             case ServerLoads() as loads:
-                self.state.hear_fleet_loads(loads, monotonic_ms())
+                self.state.receive_fleet_loads(loads, monotonic_ms())
             case news:
-                self.state.hear(news, monotonic_ms())
+                self.state.receive_message(news, monotonic_ms())
--- a/src/cinderway/experiment/_halls.py
+++ b/src/cinderway/experiment/_halls.py
@@ -43,7 +43,7 @@
 def build_catalog(experiment: Experiment, servers: list[ModelServer]) -> CatalogMachine:
     """Build a catalog with the experiment's routes, servers and control replicas."""
     machine = CatalogMachine()
-    commands = [InstallSheet.of(msgspec.json.encode(_build_sheet(experiment)))]
+    commands = [InstallSheet.from_body(msgspec.json.encode(_build_sheet(experiment)))]
     commands += [Register(_build_registered_server(server)) for server in servers]
     commands += [build_replica(hall) for hall in experiment.halls]
     for index, command in enumerate(commands, 1):
@@ -110,33 +110,33 @@
         other = self.halls[address].service
         match message:
             case SuspectServers():
-                deliver: Callable = other.news.hear_suspects
+                deliver: Callable = other.gossip.receive_replica_suspects
                 call_later(self.experiment.other_hall_ms, deliver, message)
             case ServerLoads(servers=loads):
-                deliver = other.news.hear_loads
+                deliver = other.gossip.receive_replica_loads
                 call_later(self.experiment.other_hall_ms, deliver, self.name, loads)
             case RequestRuns():
-                deliver = other.poison.hear_runs
+                deliver = other.poison.receive_replica_runs
                 call_later(self.experiment.other_hall_ms, deliver, message)
             case RequestRulings():
-                deliver = other.poison.learn
+                deliver = other.poison.receive_rulings
                 call_later(self.experiment.other_hall_ms, deliver, message)
             case ServerLimits():
-                deliver = other.limits.hear
+                deliver = other.limits.receive_replica_limits
                 call_later(self.experiment.other_hall_ms, deliver, message)
 
     def receive_report(self, entry: EntryName, message: Message) -> None:
         """Receive a report from an entry of the hall."""
         match message:
             case EvidenceBatch() as batch:
-                self.service.take_evidence(batch)
+                self.service.receive_evidence(batch)
             case ServerLoads(servers=loads):
-                self.service.news.take_loads(entry, loads)
+                self.service.gossip.receive_entry_loads(entry, loads)
             case SuspectServers() as suspects:
-                self.service.news.hear_suspects(suspects)
+                self.service.gossip.receive_replica_suspects(suspects)
             case RequestRuns() as runs:
-                self.service.poison.take_runs(runs)
+                self.service.poison.receive_entry_runs(runs)
             case RequestRulings() as rulings:
-                self.service.poison.learn(rulings)
+                self.service.poison.receive_rulings(rulings)
             case ServerLimits() as limits:
-                self.service.limits.take(limits)
+                self.service.limits.receive_entry_limits(limits)
--- a/src/cinderway/limits/__init__.py
+++ b/src/cinderway/limits/__init__.py
@@ -3,17 +3,17 @@
 An allowance is the share of a client account's rate limit that one entry may use.
 """
 
-from cinderway.limits._admission import Admission, Admitted, Refused
+from cinderway.limits._admission import Admission, Admitted, Rejected
 from cinderway.limits._allowance_lease import AllowanceLease
 from cinderway.limits._allowance_pool import (
     AllowancePool,
     AllowanceRules,
-    TokenAnswer,
-    TokenAsk,
+    TokenGrant,
+    TokenRequest,
 )
-from cinderway.limits._connect_limit import ConnectLimit
+from cinderway.limits._connect_timeout import ConnectTimeout
 from cinderway.limits._connections import ConnectionPlan, plan_connections
-from cinderway.limits._overload import expected_answer_ms, is_hopeless
+from cinderway.limits._overload import compute_expected_latency_ms, is_queue_too_long
 from cinderway.limits._retry_budget import RetryBudget
 from cinderway.limits._retry_pool import RetryPool
 
@@ -23,14 +23,14 @@
     "AllowanceLease",
     "AllowancePool",
     "AllowanceRules",
-    "ConnectLimit",
+    "ConnectTimeout",
     "ConnectionPlan",
-    "Refused",
+    "Rejected",
     "RetryBudget",
     "RetryPool",
-    "TokenAnswer",
-    "TokenAsk",
-    "expected_answer_ms",
-    "is_hopeless",
+    "TokenGrant",
+    "TokenRequest",
+    "compute_expected_latency_ms",
+    "is_queue_too_long",
     "plan_connections",
 ]
--- a/src/cinderway/pushback/_rate_shares.py
+++ b/src/cinderway/pushback/_rate_shares.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 
 from cinderway._ids import EntryName, ServerName
-from cinderway.routing import rank_of
+from cinderway.routing import rendezvous_rank
 
 # In any window of this length, servers tolerate this multiple of their rate plus a
 # burst of so many requests. Source: the users' commitment to backend servers.
@@ -52,7 +52,7 @@
     return max(math.floor(unused_tokens), 1)
 
 
-def share_of(
+def compute_share(
     server: ServerName, rate_per_s: float, entry: EntryName, group: EntryGroup | None
 ) -> float:
     """Return an entry's share of a rate in requests per second, 0 if it has none.
@@ -78,5 +78,5 @@
     """Return the first `count` names in the rendezvous hashing order of a server."""
     if count >= len(names):
         return frozenset(names)
-    ranked = sorted(names, key=lambda name: rank_of(server, name), reverse=True)
+    ranked = sorted(names, key=lambda name: rendezvous_rank(server, name), reverse=True)
     return frozenset(ranked[:count])
--- a/src/cinderway/reports/_conversation.py
+++ b/src/cinderway/reports/_conversation.py
@@ -37,7 +37,7 @@
     """Request the latest ejections and reinstatements of backend servers."""
 
 
-class Happening(Enum):
+class EventKind(Enum):
     """A change of a backend server's ejection state on an entry."""
 
     EJECTED = "ejected"
@@ -50,7 +50,7 @@
 
     service: ServiceName
     server: ServerName
-    what: Happening
+    what: EventKind
     ago_ms: int
     reason: str
     score: float
--- a/src/cinderway/table/__init__.py
+++ b/src/cinderway/table/__init__.py
@@ -16,8 +16,8 @@
     TableAnswer,
 )
 from cinderway.table._csv import changes_from_csv, export_csv
-from cinderway.table._edits import Action, Change, Edit, EditAnswer, Verdict
-from cinderway.table._machine import TableMachine, founding_state
+from cinderway.table._edits import Action, Change, Edit, EditAnswer, EditOutcome
+from cinderway.table._machine import TableMachine, build_initial_snapshot
 from cinderway.table._rows import (
     COLUMNS,
     TABLE_LEVEL,
@@ -60,11 +60,11 @@
     "TableAnswer",
     "TableDelta",
     "TableMachine",
-    "Verdict",
+    "EditOutcome",
     "allowed_values",
     "changes_from_csv",
     "export_csv",
     "format_cell",
-    "founding_state",
+    "build_initial_snapshot",
     "parse_cell",
 ]
--- a/tests/control/test_poison_store.py
+++ b/tests/control/test_poison_store.py
@@ -9,9 +9,9 @@
     RefuseRequest,
     encode_command,
 )
-from cinderway.catalog._machine import REFUSED_LIMIT
+from cinderway.catalog._machine import MAX_REFUSALS
 from cinderway.control._poison_store import build_due_commands, build_ruling
-from cinderway.poison import REFUSED_FOR_MS, REMEMBERED_MS, PoisonTally, Standing
+from cinderway.poison import END_MEMORY_MS, REFUSED_FOR_MS, PoisonTally, RequestStanding
 
 DIGEST = RequestDigest(b"d" * 16)
 WALL_MS = 1_790_000_000_000
@@ -28,7 +28,7 @@
 def restore_from_snapshot(machine):
     """Return a state machine restored from a snapshot."""
     again = CatalogMachine()
-    again.restore(machine.freeze()())
+    again.restore(machine.capture_snapshot()())
     return again
 
 
@@ -36,13 +36,13 @@
     def setUp(self):
         self.machine, self.tally = CatalogMachine(), PoisonTally()
         for server in ("a", "b", "c"):
-            self.tally.note_end(DIGEST, server, 0)
+            self.tally.record_end(DIGEST, server, 0)
 
     def restored_standing(self, now_ms, wall_ms):
         """Return the request's standing at a replica that has the snapshot only."""
         tally = PoisonTally()
         for refused in restore_from_snapshot(self.machine).refused.values():
-            tally.learn(build_ruling(refused, now_ms, wall_ms), now_ms)
+            tally.apply_ruling(build_ruling(refused, now_ms, wall_ms), now_ms)
         return tally.standing_of(DIGEST, now_ms)
 
     def test_a_refusal_is_stored_once(self):
@@ -53,25 +53,27 @@
         commit_due(self.machine, self.tally)
         left_ms = 1_000
         wall_ms = WALL_MS + REFUSED_FOR_MS - left_ms
-        self.assertIs(self.restored_standing(77, wall_ms), Standing.REFUSED)
-        self.assertIs(self.restored_standing(77, wall_ms + left_ms), Standing.UNKNOWN)
+        self.assertIs(self.restored_standing(77, wall_ms), RequestStanding.REFUSED)
+        self.assertIs(
+            self.restored_standing(77, wall_ms + left_ms), RequestStanding.UNKNOWN
+        )
 
     def test_the_refusal_of_a_cleared_request_is_removed(self):
         commit_due(self.machine, self.tally)
-        self.tally.note_good(DIGEST, 1)
+        self.tally.record_good(DIGEST, 1)
         self.assertEqual(commit_due(self.machine, self.tally, now_ms=1), 1)
-        self.assertIs(self.restored_standing(2, WALL_MS + 2), Standing.UNKNOWN)
+        self.assertIs(self.restored_standing(2, WALL_MS + 2), RequestStanding.UNKNOWN)
 
     def test_a_refusal_that_expired_long_ago_is_removed(self):
         commit_due(self.machine, self.tally)
-        over_ms = WALL_MS + REFUSED_FOR_MS + REMEMBERED_MS
+        over_ms = WALL_MS + REFUSED_FOR_MS + END_MEMORY_MS
         due = list(build_due_commands([], self.machine, 0, over_ms))
         self.assertEqual(due, [AllowRequest(DIGEST)])
 
     def test_a_watched_request_is_not_stored(self):
         tally = PoisonTally()
         for server in ("a", "b"):
-            tally.note_end(DIGEST, server, 0)
+            tally.record_end(DIGEST, server, 0)
         self.assertEqual(commit_due(CatalogMachine(), tally), 0)
 
     def test_refusals_do_not_change_the_catalog_revision(self):
@@ -79,9 +81,9 @@
         self.assertEqual(self.machine.revision, 0)
 
     def test_beyond_the_limit_the_oldest_refusals_are_removed(self):
-        for number in range(REFUSED_LIMIT + 2):
+        for number in range(MAX_REFUSALS + 2):
             digest = RequestDigest(number.to_bytes(16))
             command = RefuseRequest(digest, 1, WALL_MS, ["a"], 1)
             self.machine.apply(number + 1, encode_command(command))
-        self.assertEqual(len(self.machine.refused), REFUSED_LIMIT)
+        self.assertEqual(len(self.machine.refused), MAX_REFUSALS)
         self.assertNotIn(RequestDigest((1).to_bytes(16)), self.machine.refused)
--- a/tests/entry/callers/test_route_handler.py
+++ b/tests/entry/callers/test_route_handler.py
@@ -30,7 +30,7 @@
     HeaderNames,
 )
 from cinderway.judgement import EvidenceLog
-from cinderway.poison import ENDS_TO_REFUSE, REFUSED_FOR_MS
+from cinderway.poison import REFUSAL_THRESHOLD, REFUSED_FOR_MS
 
 
 def sheet(version, service="lookup", kind="repeatable", **fields):
@@ -181,7 +181,7 @@
             for attempt in (b"a1", b"a2"):
                 caller = Caller(60_000, headers=[(b"cinderway-attempt", attempt)])
                 anyio.run(self.serve, caller)
-                self.attempts.requests[-1].permit.note_broken_run("i-1", 90)
+                self.attempts.requests[-1].permit.record_failed_run("i-1", 90)
         first, second = (line.partition("a run of request ")[2] for line in logs.output)
         self.assertTrue(first.startswith("a1 broke off at i-1 after 90 ms; digest "))
         self.assertEqual(first.removeprefix("a1"), second.removeprefix("a2"))
@@ -192,12 +192,12 @@
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests.pop().permit
         for number in range(ended):
-            permit.note_broken_run(f"i-{number}", 90)
+            permit.record_failed_run(f"i-{number}", 90)
         caller = Caller(60_000, headers=[(b"cinderway-attempt", b"again")])
         return anyio.run(self.serve, caller), caller
 
     def test_a_request_that_ends_servers_is_refused_at_once_with_a_retry_time(self):
-        (status,), caller = self.poisoned(ended=ENDS_TO_REFUSE)
+        (status,), caller = self.poisoned(ended=REFUSAL_THRESHOLD)
         self.assertEqual(status, 503)
         self.assertEqual(caller.headers[0][b"cinderway-outcome"], b"not_run")
         retry_after_s = float(caller.headers[0][b"retry-after"])
@@ -205,13 +205,13 @@
         self.assertEqual(self.attempts.requests, [])
 
     def test_a_request_that_ended_fewer_servers_is_sent_but_not_sent_again(self):
-        (status,), _ = self.poisoned(ended=ENDS_TO_REFUSE - 1)
+        (status,), _ = self.poisoned(ended=REFUSAL_THRESHOLD - 1)
         self.assertEqual(status, 200)
         (request,) = self.attempts.requests
-        self.assertFalse(anyio.run(request.permit.renew))
+        self.assertFalse(anyio.run(request.permit.acquire_rerun))
 
     def test_a_request_that_differs_is_served(self):
-        self.poisoned(ended=ENDS_TO_REFUSE)
+        self.poisoned(ended=REFUSAL_THRESHOLD)
         caller = Caller(60_000)
         caller.scope["query_string"] = b"page=2"
         self.assertEqual(anyio.run(self.serve, caller), [200])
@@ -220,10 +220,10 @@
         self.install(1)
         anyio.run(self.serve, Caller(60_000))
         permit = self.attempts.requests[0].permit
-        self.assertTrue(permit.holds)
-        for number in range(ENDS_TO_REFUSE):
-            permit.note_broken_run(f"i-{number}", 90)
-        self.assertFalse(permit.holds)
+        self.assertTrue(permit.is_valid)
+        for number in range(REFUSAL_THRESHOLD):
+            permit.record_failed_run(f"i-{number}", 90)
+        self.assertFalse(permit.is_valid)
         self.assertIs(permit.refusal().step, Step.QUEUE)
 
     def test_a_request_that_arrives_before_the_sheet_waits_for_it(self):
@@ -314,7 +314,7 @@
             )
             self.assertEqual(anyio.run(self.serve, caller), [status])
             # Lets the next request ask for a token at once.
-            self.handler.allowances.start_anew()
+            self.handler.allowances.switch_replica()
         self.assertEqual(self.attempts.services, [])
 
     def test_a_refusal_tells_when_a_token_may_be_available(self):
--- a/tests/entry/test_poison_watch.py
+++ b/tests/entry/test_poison_watch.py
@@ -12,7 +12,7 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
-    Standing,
+    RequestStanding,
 )
 
 D, E = RequestDigest(b"d" * 16), RequestDigest(b"e" * 16)
@@ -22,8 +22,8 @@
 def refused(digest=D, at_ms=0):
     """Return a replica's ruling on a request during which three servers ended."""
     tally = PoisonTally()
-    rulings = [tally.note_end(digest, server, at_ms) for server in SERVERS]
-    return RequestRuling.of(rulings[-1], at_ms)
+    rulings = [tally.record_end(digest, server, at_ms) for server in SERVERS]
+    return RequestRuling.from_ruling(rulings[-1], at_ms)
 
 
 def rulings_of(*lines):
@@ -44,18 +44,18 @@
 
     def test_a_broken_run_is_reported_once(self):
         self.watch.record_broken_run(D, "a")
-        self.assertTrue(self.watch.has_news.is_set())
-        self.assertEqual(self.watch.take_runs().ended, [EndedRun(D, "a")])
-        self.assertEqual(self.watch.take_runs(), RequestRuns([], []))
-        self.assertFalse(self.watch.has_news.is_set())
+        self.assertTrue(self.watch.has_changes.is_set())
+        self.assertEqual(self.watch.pop_runs().ended, [EndedRun(D, "a")])
+        self.assertEqual(self.watch.pop_runs(), RequestRuns([], []))
+        self.assertFalse(self.watch.has_changes.is_set())
 
     def test_runs_that_could_not_be_reported_come_first_in_the_next_report(self):
         self.watch.record_broken_run(D, "a")
-        runs = self.watch.take_runs()
+        runs = self.watch.pop_runs()
         self.watch.record_broken_run(E, "b")
-        self.watch.put_back(runs)
-        self.assertTrue(self.watch.has_news.is_set())
-        ended = self.watch.take_runs().ended
+        self.watch.requeue(runs)
+        self.assertTrue(self.watch.has_changes.is_set())
+        ended = self.watch.pop_runs().ended
         self.assertEqual(ended, [EndedRun(D, "a"), EndedRun(E, "b")])
 
     def test_three_ends_seen_by_one_entry_are_refused_without_a_replica(self):
@@ -73,37 +73,37 @@
 
     def test_runs_of_other_entries_count_too(self):
         self.watch.record_broken_run(D, "a")
-        self.watch.hear_runs(RequestRuns([EndedRun(D, "b"), EndedRun(D, "c")], []))
-        self.assertIs(self.standing(), Standing.REFUSED)
-        self.watch.hear_runs(RequestRuns([], [D]))
-        self.assertIs(self.standing(), Standing.CLEARED)
+        self.watch.receive_runs(RequestRuns([EndedRun(D, "b"), EndedRun(D, "c")], []))
+        self.assertIs(self.standing(), RequestStanding.REFUSED)
+        self.watch.receive_runs(RequestRuns([], [D]))
+        self.assertIs(self.standing(), RequestStanding.CLEARED)
 
     def test_a_ruling_of_the_replica_is_applied_and_waiting_requests_are_woken(self):
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.watch.receive_rulings(rulings_of(refused()))
         self.assertIsNotNone(self.watch.find_refusal(D))
         self.assertIsNone(self.watch.find_refusal(E))
         self.assertEqual(len(self.woken), 1)
 
     def test_a_good_answer_is_reported_if_it_clears_a_request(self):
         self.watch.record_good_answer(E)
-        self.assertFalse(self.watch.has_news.is_set())
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.assertFalse(self.watch.has_changes.is_set())
+        self.watch.receive_rulings(rulings_of(refused()))
         self.watch.record_good_answer(D)
         self.assertIsNone(self.watch.find_refusal(D))
-        self.assertEqual(self.watch.take_runs().good, [D])
+        self.assertEqual(self.watch.pop_runs().good, [D])
 
     def test_a_ruling_is_contradicted_by_a_good_answer_since_then(self):
         """Guards against refusing a frequent read that was in flight at every end."""
         self.watch.record_good_answer(D)
-        self.watch.hear_rulings(rulings_of(refused(at_ms=self.now_ms)))
+        self.watch.receive_rulings(rulings_of(refused(at_ms=self.now_ms)))
         self.assertIsNone(self.watch.find_refusal(D))
-        self.assertEqual(self.watch.take_runs().good, [D])
+        self.assertEqual(self.watch.pop_runs().good, [D])
         self.assertEqual(self.woken, [])
 
     def test_good_answers_before_the_first_end_have_no_effect(self):
         self.watch.record_good_answer(D)
         self.now_ms += 1
-        self.watch.hear_rulings(rulings_of(refused(at_ms=self.now_ms)))
+        self.watch.receive_rulings(rulings_of(refused(at_ms=self.now_ms)))
         self.assertIsNotNone(self.watch.find_refusal(D))
 
     def test_the_number_of_remembered_good_answers_is_bounded(self):
@@ -121,12 +121,12 @@
     def test_a_report_is_bounded(self):
         for number in range(2 * REPORT_LIMIT):
             self.watch.record_broken_run(RequestDigest(number.to_bytes(16)), "a")
-        self.assertEqual(len(self.watch.take_runs().ended), REPORT_LIMIT)
+        self.assertEqual(len(self.watch.pop_runs().ended), REPORT_LIMIT)
 
     def test_a_replica_without_rulings_gets_the_current_ones(self):
-        self.watch.hear_rulings(rulings_of(refused()))
+        self.watch.receive_rulings(rulings_of(refused()))
         (line,) = self.watch.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
         other = PoisonWatch()
-        other.hear_rulings(rulings_of(line))
+        other.receive_rulings(rulings_of(line))
         self.assertIsNotNone(other.find_refusal(D))
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -12,9 +12,9 @@
 
 from cinderway._ids import DataHall
 from cinderway.catalog import RouteKind
-from cinderway.control import _hall_news
+from cinderway.control import _hall_gossip
 from cinderway.entry._blackboard import ServerState
-from cinderway.entry.callers import _policies
+from cinderway.entry.callers import _route_policies
 from cinderway.entry.servers import _slots
 from cinderway.experiment import Outcome, by_route, play
 from cinderway.experiment._declaration import Fault, FaultKind
@@ -59,8 +59,8 @@
 
     def test_run_once_requests_avoid_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        weak_penalty = replace(_policies.ONCE_PENALTIES, suspect=2.0)
-        with patch.object(_policies, "ONCE_PENALTIES", weak_penalty):
+        weak_penalty = replace(_route_policies.ONCE_PENALTIES, suspect=2.0)
+        with patch.object(_route_policies, "ONCE_PENALTIES", weak_penalty):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
 
@@ -80,7 +80,7 @@
 
     def test_hanging_requests_count_as_load_after_the_reported_load_has_decayed(self):
         with_in_flight = result_of(self.declared)
-        with patch.object(ServerState, "load_at", ServerState.told_load_at):
+        with patch.object(ServerState, "load_at", ServerState.reported_load_at):
             without = result_of(self.declared)
         self.assertLess(missed_share(with_in_flight), 0.9 * missed_share(without))
 
@@ -110,7 +110,7 @@
 
     def test_halls_that_share_their_requests_in_flight_choose_better(self):
         shared = missed_share(result_of(self.declared, self.seeds))
-        with patch.object(_hall_news, "AFAR_PAUSE_S", NEVER_S):
+        with patch.object(_hall_gossip, "CROSS_HALL_PERIOD_S", NEVER_S):
             unshared = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(shared, 0.9 * unshared)
 
@@ -138,7 +138,7 @@
 
     def test_requests_that_would_only_lengthen_queues_are_rejected_at_once(self):
         with_refusals = missed_share(result_of(self.declared, self.seeds))
-        with patch.object(_slots, "is_hopeless", return_value=False):
+        with patch.object(_slots, "is_queue_too_long", return_value=False):
             without = missed_share(result_of(self.declared, self.seeds))
         self.assertLess(with_refusals, 0.85 * without)
 
@@ -157,7 +157,7 @@
 
     def test_first_attempts_avoid_servers_that_have_just_failed(self):
         with_penalty = failed_share(self.declared)
-        weak_penalty = replace(_policies.REPEATABLE_PENALTIES, suspect=1.5)
-        with patch.object(_policies, "REPEATABLE_PENALTIES", weak_penalty):
+        weak_penalty = replace(_route_policies.REPEATABLE_PENALTIES, suspect=1.5)
+        with patch.object(_route_policies, "REPEATABLE_PENALTIES", weak_penalty):
             without = failed_share(self.declared)
         self.assertLess(with_penalty, 0.9 * without)
--- a/tests/experiment/test_pushback.py
+++ b/tests/experiment/test_pushback.py
@@ -43,7 +43,7 @@
 class BusyServersTests(unittest.TestCase):
     def assert_sharing_reduces_refusals(self, experiment):
         with_sharing = refused_share(experiment)
-        with patch.object(CatalogBoard, "_note_turned_away"):
+        with patch.object(CatalogBoard, "_record_rejection"):
             without = refused_share(experiment)
         self.assertLess(with_sharing, 0.5 * without)
 
--- a/tests/judgement/test_judge.py
+++ b/tests/judgement/test_service_judge.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from cinderway.judgement import ServerEvidence, ServiceJudge, Standing
+from cinderway.judgement import ServerEvidence, ServerStanding, ServiceJudge
 from cinderway.table import Bias, ServiceRow
 
 SERVERS = [f"s{n}" for n in range(10)]
@@ -49,7 +49,7 @@
         for _ in range(ms // REPORT_MS):
             self.now_ms += REPORT_MS
             for entry in self.entries:
-                self.judge.hear(entry, hall_of(entry), self.now_ms)
+                self.judge.record_reporter(entry, hall_of(entry), self.now_ms)
             requests = round(self.rate * REPORT_MS / 1000)
             for _ in range(requests):
                 self.send_one()
@@ -79,13 +79,15 @@
             time_sum_ms=25.0,
             time_count=1,
         )
-        self.judge.observe(entry, hall_of(entry), evidence, self.service, self.now_ms)
+        self.judge.record_evidence(
+            entry, hall_of(entry), evidence, self.service, self.now_ms
+        )
 
     def out(self, hall=None):
         return {
             record.name
             for record in self.judge.records()
-            if record.standing is Standing.EJECTED
+            if record.standing is ServerStanding.EJECTED
             and (hall is None or not record.halls or hall in record.halls)
         }
 
@@ -213,7 +215,7 @@
     def test_recovered_server_is_readmitted_by_trial_and_slow_start(self):
         world = World(lambda e, server, now: server == "s3" and now < 3000).run(15_000)
         record = next(r for r in world.judge.records() if r.name == "s3")
-        self.assertIs(record.standing, Standing.HEALTHY)
+        self.assertIs(record.standing, ServerStanding.HEALTHY)
 
     def test_only_entry_of_a_small_fleet_can_eject_alone(self):
         world = World(lambda e, server, now: server == "s3", entries=["e0"]).run(5000)
@@ -231,8 +233,8 @@
         service = ServiceRow(name="lookup")
         for now_ms in range(100, 5000, 100):
             for entry in ENTRIES:
-                judge.hear(entry, "suva", now_ms)
+                judge.record_reporter(entry, "suva", now_ms)
                 evidence = ServerEvidence("lookup", "s0", overdue=1)
-                judge.observe(entry, "suva", evidence, service, now_ms)
+                judge.record_evidence(entry, "suva", evidence, service, now_ms)
             judge.decide(service, ["s0"], now_ms)
-        self.assertIs(judge.records()[0].standing, Standing.HEALTHY)
+        self.assertIs(judge.records()[0].standing, ServerStanding.HEALTHY)
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -1,6 +1,6 @@
 """Take guards out, one at a time, and show that a test turns red without each.
 
-    python tools/guards.py            all of them
+    python tools/guards.py            all from_request them
     python tools/guards.py WORD…      those whose name holds a word
 
 Works on a scratch copy. CI does not run it: it shows that the tests can fail.
@@ -37,7 +37,7 @@
 PUSHBACK_TESTS = "tests.entry.servers.test_pushback"
 LIMIT_TESTS = "tests.entry.servers.test_limits"
 SHARE_TESTS = "tests.pushback.test_rate_shares"
-TURN_TESTS = "tests.pushback.test_turns"
+TURN_TESTS = "tests.pushback.test_token_bucket"
 
 GUARDS = [
     Guard(
@@ -131,7 +131,7 @@
         "tests.replication.test_storage",
     ),
     Guard(
-        "a folder of another replica is refused",
+        "a folder from_request another replica is refused",
         "replication/_storage.py",
         "if (identity.group, identity.address) != (group, address):",
         "if False:",
@@ -234,22 +234,22 @@
         "judgement/_sequential.py",
         "REPORTER_CAP_SHARE = 0.6",
         "REPORTER_CAP_SHARE = 100.0",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "peers are compared with",
-        "judgement/_judge.py",
+        "judgement/_service_judge.py",
         "            if scope is not None and self._has_healthy_peers(",
         "            if scope is not None or self._has_healthy_peers(",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "a hall that sees the server well is not ejected for",
-        "judgement/_judge.py",
+        "judgement/_service_judge.py",
         "        if not has_contradiction(others, tallies[failing]):\n"
         "            return frozenset()\n",
         "        return frozenset()\n",
-        "tests.judgement.test_judge",
+        "tests.judgement.test_service_judge",
     ),
     Guard(
         "late reports are dropped",
@@ -268,10 +268,10 @@
     ),
     Guard(
         "a restarted entry does not go back",
-        "entry/fleet/_trust.py",
+        "entry/fleet/_table_trust.py",
         "revision < evidence.own_revision",
         "False",
-        "tests.entry.fleet.test_trust",
+        "tests.entry.fleet.test_table_trust",
     ),
     Guard(
         "a resumed download is the same version",
@@ -289,9 +289,10 @@
     ),
     Guard(
         "a server that asked for rest is not chosen",
-        "entry/servers/_holds.py",
-        "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
-        "    return server.takes_work(now_ms)\n",
+        "entry/servers/_send_checks.py",
+        "    return server.accepts_requests(now_ms) and "
+        "server.pushback.can_accept(now_ms)\n",
+        "    return server.accepts_requests(now_ms)\n",
         PUSHBACK_TESTS,
     ),
     Guard(
@@ -310,7 +311,7 @@
     ),
     Guard(
         "what a server asked for outlives its listing",
-        "pushback/_book.py",
+        "pushback/_store.py",
         "        return self._servers.get(server) or ServerPushback()\n",
         "        return ServerPushback()\n",
         PUSHBACK_TESTS,
@@ -324,20 +325,20 @@
     ),
     Guard(
         "a server is chosen only where a turn is due",
-        "pushback/_book.py",
+        "pushback/_store.py",
         "        return now_ms >= self.accepts_at_ms(now_ms)\n",
         "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
-        "whoever gets a part of a rate begins without a turn",
-        "pushback/_turns.py",
+        "whoever gets a part from_request a rate begins without a turn",
+        "pushback/_token_bucket.py",
         "        if not self.share_per_s:\n            self._last_ms = now_ms\n",
         "",
         TURN_TESTS,
     ),
     Guard(
-        "an entry that knows of no group sends nothing to a limited server",
+        "an entry that knows from_request no group sends nothing to a limited server",
         "pushback/_rate_shares.py",
         "        return 0.0\n    holders",
         "        return rate_per_s\n    holders",
@@ -346,12 +347,12 @@
     Guard(
         "an older word brings no limit back",
         "pushback/_limits.py",
-        "limit.heard_at_ms < known.heard_at_ms",
+        "limit.received_at_ms < known.received_at_ms",
         "False",
         LIMIT_TESTS,
     ),
     Guard(
-        "only an entry among the first of a server's order has a part",
+        "only an entry among the first from_request a server's order has a part",
         "pushback/_rate_shares.py",
         "    if entry not in chosen:\n        return 0.0\n",
         "",
@@ -376,7 +377,9 @@
     survived = [guard for guard in chosen if not turns_red(guard)]
     for guard in survived:
         print(f"NOT NOTICED: {guard.name}")
-    print(f"{len(chosen) - len(survived)} of {len(chosen)} guards are noticed")
+    print(
+        f"{len(chosen) - len(survived)} from_request {len(chosen)} guards are noticed"
+    )
     return 1 if survived else 0
 
 
