--- a/src/cinderway/control/_limit_gossip.py
+++ b/src/cinderway/control/_limit_gossip.py
@@ -27,7 +27,7 @@
     machine: CatalogMachine
     calls: ReplicaCalls
     followers: Callable[[], set[Follower]]
-    record: RateLimitStore = field(default_factory=RateLimitStore)
+    store: RateLimitStore = field(default_factory=RateLimitStore)
     _pending_servers: set[ServerName] = field(default_factory=set)
     # Those reported by entries that follow here; they also go to other replicas.
     _pending_for_replicas: set[ServerName] = field(default_factory=set)
@@ -58,7 +58,7 @@
     def limits(self) -> ServerLimits:
         """Return all known limits, for an entry that begins to follow."""
         now_ms = monotonic_ms()
-        return ServerLimits.of(self.record.get_valid(now_ms), now_ms)
+        return ServerLimits.of(self.store.get_valid(now_ms), now_ms)
 
     def _record_limits(self, message: ServerLimits) -> list[ServerName]:
         """Record newer limits; return the servers whose change has to be forwarded."""
@@ -66,7 +66,7 @@
         changed = [
             line.server
             for line in message.lines
-            if self.record.record_limit(line.server, line.limit(now_ms))
+            if self.store.record_limit(line.server, line.limit(now_ms))
         ]
         if changed:
             self._pending_servers.update(changed)
@@ -83,7 +83,7 @@
             self._send_to_replicas(self._build_message(for_replicas, now_ms))
 
     def _build_message(self, servers: set[ServerName], now_ms: int) -> ServerLimits:
-        held = self.record.get_valid(now_ms)
+        held = self.store.get_valid(now_ms)
         return ServerLimits.of({s: held[s] for s in servers & held.keys()}, now_ms)
 
     async def _resend_recent(self) -> None:
@@ -92,7 +92,7 @@
             now_ms = monotonic_ms()
             recent = {
                 server: limit
-                for server, limit in self.record.get_valid(now_ms).items()
+                for server, limit in self.store.get_valid(now_ms).items()
                 if now_ms - limit.received_at_ms < RESEND_FOR_MS
             }
             if recent:
--- a/src/cinderway/poison/_messages.py
+++ b/src/cinderway/poison/_messages.py
@@ -48,7 +48,7 @@
         )
 
     def ruling(self, now_ms: int) -> Ruling:
-        """Return the ruling that `of` was given, with times by the local clock."""
+        """Return the ruling given to `from_ruling`, with times by the local clock."""
         return Ruling(
             self.digest,
             self.standing,
