--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -219,7 +219,7 @@
                 self.afflict(chosen, stall=True)
             case "cold":
                 for name in chosen:
-                    self.fleet._steer(name, "cold", b"3")
+                    self.fleet._send_command(name, "cold", b"3")
                 return set()
             case "overload":
                 return set()
@@ -239,7 +239,7 @@
     def afflict(self, names, **faults) -> None:
         """Set the same faults on several servers."""
         for name in names:
-            self.fleet.fault(name, **faults)
+            self.fleet.set_faults(name, **faults)
 
     def heal(self) -> None:
         """Take every fault away."""
--- a/bench/kills.py
+++ b/bench/kills.py
@@ -96,7 +96,7 @@
         if kind == "ledger":
             address = self.rng.choice(self.fleet.ledger)
             self.fleet.kill(f"ledger-{address}")
-            self.fleet.wait_ended(f"ledger-{address}")
+            self.fleet.wait_for_exit(f"ledger-{address}")
             self.fleet.start_replica("ledger", address)
             return
         if kind == "server":
@@ -104,15 +104,15 @@
             return
         entry = self.rng.choice(self.fleet.entries)
         self.fleet.kill(entry.name)
-        self.fleet.wait_ended(entry.name)
+        self.fleet.wait_for_exit(entry.name)
         self.fleet.start_entry(entry)
 
     def fail_server(self) -> None:
         """Let a server run requests and then break the connection unanswered."""
         server = self.rng.choice(SERVERS).name
-        self.fleet.fault(server, drop_answer=True)
+        self.fleet.set_faults(server, drop_answer=True)
         time.sleep(KILL_PAUSE_S)
-        self.fleet.fault(server)
+        self.fleet.set_faults(server)
 
 
 def main(arguments: list[str]) -> None:
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -55,7 +55,7 @@
     for replicas in (3, 5):
         fleet = Fleet([], [], ["suva"], entries=0, control=0, ledger=replicas)
         try:
-            fleet.found("ledger")
+            fleet.bootstrap_group("ledger")
             for address in fleet.ledger:
                 fleet.start_replica("ledger", address)
             time.sleep(4)
--- a/demo/run.py
+++ b/demo/run.py
@@ -132,17 +132,17 @@
     def stall(self) -> str:
         """Stall a server and wait until requests are fast again."""
         stalled = "lookup-1"
-        self.fleet.fault(stalled, stall=True)
+        self.fleet.set_faults(stalled, stall=True)
         began_s = time.monotonic()
         while time.monotonic() - began_s < STALL_FOUND_WITHIN_S:
             with ThreadPoolExecutor(LOOKUPS_AT_ONCE) as pool:
                 slowest_s = max(pool.map(self._timed_lookup, range(LOOKUPS)))
             if slowest_s < FAST_S:
                 found_s = time.monotonic() - began_s
-                self.fleet.fault(stalled)
+                self.fleet.set_faults(stalled)
                 print(f"     all of {LOOKUPS} lookups fast after {found_s:.1f} s")
                 return ""
-        self.fleet.fault(stalled)
+        self.fleet.set_faults(stalled)
         return f"still slow after {STALL_FOUND_WITHIN_S} s"
 
     def _timed_lookup(self, number: int) -> float:
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what surrounds cinderway: backend servers, callers, a launcher.
+"""Simulated backend servers, a load generator and launchers of local fleets.
 
-Scaffolding of the demo, the tests and the bench; never part of the product.
+Used by the demo, the tests and the benchmarks; not part of the product.
 """
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,12 +1,13 @@
-"""Backend servers with real slots whose failures are gray. One process, many servers.
+"""Simulated backend servers with a limited number of slots and injectable faults.
 
-    /lookup…    a repeatable answer after about `work_ms`
+    /lookup…    a repeatable request that takes about `work_ms`
     /readings…  POST; counts the runs of each Idempotency-Key
-    /maps/N     N KiB, streamed, with a strong ETag and ranges
-    /healthz    always says that all is well, whatever is not
-    /_standin/… faults and counts, for the tests
+    /maps/N     N KiB, streamed, with a strong ETag and support for ranges
+    /healthz    reports healthy whatever faults are set, as in a gray failure
+    /_standin/… sets faults and returns counters, for the tests
 
-Each server answers on its own port. Faults are set by POST /_standin/fault.
+One process runs many servers, each on its own port. POST /_standin/fault sets a
+server's faults.
 """
 
 import argparse
@@ -25,7 +26,11 @@
 
 @dataclass
 class Faults:
-    """What is wrong with a server; `from_names` limits it to some entries' requests."""
+    """A server's injected faults.
+
+    If `from_names` is not empty, most faults affect only requests from entries whose
+    names begin with one of these texts.
+    """
 
     stall: bool = False
     stall_path: str = ""
@@ -37,16 +42,16 @@
     mute: bool = False
     drain: bool = False
     weak_etag: bool = False
-    # Turns all requests away, and asks for so many seconds of rest.
+    # If not 0, the server sheds all requests and sends this value as Retry-After.
     rest_s: int = 0
-    # Names so many requests a second in all answers; 0 names none.
+    # Requests per second announced in the rate limit header; 0 sends no header.
     rate_limit_per_s: float = 0.0
     from_names: list[str] = field(default_factory=list)
 
 
 @dataclass
 class BackendServer:
-    """One server: its slots, its faults, and what it did."""
+    """One server with its slots, faults and counters."""
 
     name: str
     slots: int
@@ -62,11 +67,11 @@
     cancelled: int = 0
     cold_until_s: float = 0.0
     runs: Counter = field(default_factory=Counter)
-    slot: asyncio.Semaphore = None
-    healed: asyncio.Event = field(default_factory=asyncio.Event)
+    slot_semaphore: asyncio.Semaphore = None
+    faults_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def __post_init__(self):
-        self.slot = asyncio.Semaphore(self.slots)
+        self.slot_semaphore = asyncio.Semaphore(self.slots)
 
     async def __call__(self, scope, receive, send):
         """Serve one ASGI request."""
@@ -74,60 +79,65 @@
             return
         request = _Request(scope, await _read_body(receive))
         if request.path.startswith("/_standin/"):
-            await self._steer(request, send)
+            await self._handle_control_request(request, send)
         elif request.path == "/healthz":
-            await self._answer(send, 200, b"healthy")
+            await self._send_response(send, 200, b"healthy")
         else:
-            await self._work(request, receive, send)
+            await self._handle_work(request, receive, send)
 
-    async def _work(self, request, receive, send):
+    async def _handle_work(self, request, receive, send):
         is_full = self.waiting >= self.queue and self.in_use >= self.slots
         rest_s = self.faults.rest_s
         if is_full or rest_s:
             self.shed += 1
-            rest = b"%d" % (rest_s or 1)
-            headers = [(b"cinderway-outcome", b"not_run"), (b"retry-after", rest)]
-            await self._answer(send, 503, b"no slot", headers)
+            retry_after = b"%d" % (rest_s or 1)
+            headers = [
+                (b"cinderway-outcome", b"not_run"),
+                (b"retry-after", retry_after),
+            ]
+            await self._send_response(send, 503, b"no slot", headers)
             return
         self.waiting += 1
         try:
-            await self.slot.acquire()
+            await self.slot_semaphore.acquire()
         finally:
             self.waiting -= 1
         self.in_use += 1
         try:
-            await self._until_disconnected(self._run(request, send), request, receive)
+            await self._run_until_disconnect(self._run(request, send), request, receive)
         finally:
             self.in_use -= 1
-            self.slot.release()
-        if self.faults.mute and self._is_hit(request):
-            # A one-way cut: the work is done and the slot is free, but nothing of
-            # the answer ever arrives.
-            await self.healed.wait()
+            self.slot_semaphore.release()
+        if self.faults.mute and self._is_affected(request):
+            # Simulates a one-way network partition: the work is done and the slot is
+            # released, but no part of the response arrives.
+            await self.faults_changed.wait()
             raise ConnectionAbortedError
 
-    async def _until_disconnected(self, work, request, receive):
-        """Repeatable work is cancelled with its caller; a submission is not."""
+    async def _run_until_disconnect(self, work, request, receive):
+        """Cancel the work if the client disconnects, unless the method is POST."""
         if request.method == "POST":
             await work
             return
         task = asyncio.ensure_future(work)
-        gone = asyncio.ensure_future(_disconnected(receive))
-        done, _ = await asyncio.wait({task, gone}, return_when=asyncio.FIRST_COMPLETED)
+        disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
+        done, _ = await asyncio.wait(
+            {task, disconnected}, return_when=asyncio.FIRST_COMPLETED
+        )
         if task not in done:
             self.cancelled += 1
             task.cancel()
-        gone.cancel()
-        await asyncio.gather(task, gone, return_exceptions=True)
+        disconnected.cancel()
+        await asyncio.gather(task, disconnected, return_exceptions=True)
 
     async def _run(self, request, send):
-        faults = self.faults if self._is_hit(request) else Faults()
+        faults = self.faults if self._is_affected(request) else Faults()
         if faults.refuse:
             raise ConnectionAbortedError
         if faults.stall or (
             faults.stall_path and request.path.startswith(faults.stall_path)
         ):
-            await self.healed.wait()
+            await self.faults_changed.wait()
         factor = faults.slow_factor
         if asyncio.get_running_loop().time() < self.cold_until_s:
             factor *= COLD_FACTOR
@@ -141,20 +151,22 @@
         if faults.mute:
             return
         if faults.drop_answer:
-            await self.healed.wait()
+            await self.faults_changed.wait()
             raise ConnectionAbortedError
         if self.rng.random() < faults.error_share:
-            await self._answer(send, 500, b"broken")
+            await self._send_response(send, 500, b"broken")
             return
         self.served += 1
         body = json.dumps(
             {"server": self.name, "echo": request.path + "?" + request.query}
         )
-        await self._answer(send, 200, body.encode())
+        await self._send_response(send, 200, body.encode())
 
-    def _is_hit(self, request) -> bool:
-        names = self.faults.from_names
-        return not names or any(request.attempt.startswith(n) for n in names)
+    def _is_affected(self, request) -> bool:
+        affected_names = self.faults.from_names
+        return not affected_names or any(
+            request.attempt.startswith(n) for n in affected_names
+        )
 
     async def _send_map(self, request, send, factor, faults):
         total = int(request.path.split("/")[2]) * KIB
@@ -169,14 +181,14 @@
         if status == 206:
             content_range = b"bytes %d-%d/%d" % (first, last, total)
             headers.append((b"content-range", content_range))
-        await self._start(send, status, headers)
+        await self._send_response_start(send, status, headers)
         pause_s = CHUNK_BYTES / KIB / self.body_kib_per_s * factor
         position = first
         while position <= last:
             if faults.cut_body and position - first > total // 3:
                 raise ConnectionAbortedError
-            if self.faults.stall and self._is_hit(request):
-                await self.healed.wait()
+            if self.faults.stall and self._is_affected(request):
+                await self.faults_changed.wait()
             size = min(CHUNK_BYTES, last - position + 1)
             body = map_bytes(position, size)
             message = {"type": "http.response.body", "body": body, "more_body": True}
@@ -186,12 +198,12 @@
         await send({"type": "http.response.body", "body": b""})
         self.served += 1
 
-    async def _steer(self, request, send):
+    async def _handle_control_request(self, request, send):
         match request.path:
             case "/_standin/fault":
                 self.faults = Faults(**json.loads(request.body or b"{}"))
-                self.healed.set()
-                self.healed = asyncio.Event()
+                self.faults_changed.set()
+                self.faults_changed = asyncio.Event()
             case "/_standin/cold":
                 now_s = asyncio.get_running_loop().time()
                 self.cold_until_s = now_s + float(request.body)
@@ -202,15 +214,15 @@
             "in_use": self.in_use,
             "runs": self.runs,
         }
-        await self._answer(send, 200, json.dumps(counts).encode())
+        await self._send_response(send, 200, json.dumps(counts).encode())
 
-    async def _answer(self, send, status, body, headers=()):
-        await self._start(
+    async def _send_response(self, send, status, body, headers=()):
+        await self._send_response_start(
             send, status, [*headers, (b"content-length", b"%d" % len(body))]
         )
         await send({"type": "http.response.body", "body": body})
 
-    async def _start(self, send, status, headers):
+    async def _send_response_start(self, send, status, headers):
         load = b"%d/%d" % (self.in_use + self.waiting, self.slots)
         headers = [*headers, (b"cinderway-load", load)]
         if self.faults.drain:
@@ -236,7 +248,11 @@
 
 
 def map_bytes(position: int, size: int) -> bytes:
-    """Return the part of a map's body at a position: its own offsets, as text."""
+    """Return a range of a map's body.
+
+    The body consists of 8-byte lines with consecutive numbers, so that a misplaced or
+    missing range is detected.
+    """
     first = position // 8
     last = (position + size) // 8 + 1
     text = b"".join(b"%07d\n" % (n % 10_000_000) for n in range(first, last))
@@ -252,7 +268,7 @@
             return b"".join(parts)
 
 
-async def _disconnected(receive):
+async def _wait_for_disconnect(receive):
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
@@ -280,10 +296,10 @@
 
 
 def main() -> None:
-    """Run the servers that the command line names: `name:port:slots:work_ms`."""
+    """Run the servers given as `name:port:slots:work_ms` on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("servers", nargs="+")
-    parser.add_argument("--queue", type=int, default=-1, help="-1: as many as slots")
+    parser.add_argument("--queue", type=int, default=-1, help="-1: same as slots")
     parser.add_argument("--body-kib-per-s", type=int, default=4096)
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args()
--- a/standins/catalog_fleet.py
+++ b/standins/catalog_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet that serves by the catalog, as real processes on loopback addresses."""
+"""Launch a small fleet with catalog-based configuration as processes on loopback."""
 
 import http.client
 import json
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """What came back from an entry or a control replica."""
+    """An HTTP response of an entry or a control replica."""
 
     status: int
     headers: dict[str, str]
@@ -32,7 +32,7 @@
 def call(
     address: str, method: str, path: str, body: bytes = b"", headers: dict | None = None
 ) -> Reply:
-    """Make one HTTP call on a connection of its own; OSError if it breaks."""
+    """Send one HTTP request on a new connection; raise OSError if it fails."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     try:
@@ -48,18 +48,21 @@
 
 class _Server(ThreadingHTTPServer):
     def handle_error(self, request, client_address):
-        """A caller that is gone is no error of a stand-in's; anything else is shown."""
+        """Ignore closed client connections; report all other errors."""
         if not isinstance(sys.exception(), ConnectionError):
             super().handle_error(request, client_address)
 
 
 class RegisteredServer:
-    """A stand-in backend server that speaks the headers entries expect.
-
-    `behave` is called for each request with its attempt's name and returns a status;
-    `runs` counts what was run, by attempt, and `headers` holds what came with it.
-    `arrivals` counts all requests, also those turned away; `says` are the headers that
-    all answers carry.
+    """A simulated backend server that uses the headers entries expect.
+
+    `handle_attempt` is called for each request with its attempt's name. It returns an
+    HTTP status, or "shed" (the request is not run), "drop" (it is run and the
+    connection closed without a response) or "foreign" (the response names another
+    attempt).
+    `runs` lists the attempts that were run, and `headers` holds the request headers of
+    each. `arrivals` lists all attempts, including those shed. `response_headers` are
+    added to all responses.
     """
 
     def __init__(self, server_id: str, service: str, data_hall: str = "suva"):
@@ -68,13 +71,13 @@
         self.data_hall = data_hall
         self.runs: list[str] = []
         self.arrivals: list[str] = []
-        self.says: dict[str, str] = {}
+        self.response_headers: dict[str, str] = {}
         self.deadlines_ms: list[int] = []
-        # The headers of what was run, by attempt.
+        # Request headers by attempt, of the attempts that were run.
         self.headers: dict[str, str] = {}
-        self.behave = lambda attempt: 200
+        self.handle_attempt = lambda attempt: 200
         self.sequence = 0
-        # When this start began, by its own clock; 0 where it does not say.
+        # Start time by the server's own clock; 0 if unknown.
         self.started_at_ms = 0
         stand_in = self
 
@@ -82,26 +85,26 @@
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):
-                stand_in._serve(self)
+                stand_in._handle_request(self)
 
             do_POST = do_GET
 
             def log_message(self, *args):
-                """Write nothing: tests look at `runs`."""
+                """Suppress the request log."""
 
         self._http = _Server(("127.0.0.1", 0), Handler)
         self.address = f"127.0.0.1:{self._http.server_port}"
         threading.Thread(target=self._http.serve_forever, daemon=True).start()
 
     def stop(self) -> None:
-        """Answer nobody any longer."""
+        """Stop serving and close the listening socket."""
         self._http.shutdown()
         self._http.server_close()
 
     def heartbeat(self, control: str, status: str = "active", **fields) -> Reply:
-        """Tell a control replica about this server."""
+        """Send a heartbeat of this server to a control replica."""
         self.sequence += 1
-        said = {
+        payload = {
             "service": self.service,
             "address": self.address,
             "data_hall": self.data_hall,
@@ -113,27 +116,27 @@
             "started_at_ms": self.started_at_ms,
             **fields,
         }
-        body = json.dumps(said).encode()
+        body = json.dumps(payload).encode()
         return call(control, "PUT", f"/v1/servers/{self.server_id}", body)
 
-    def leave(self, control: str) -> Reply:
-        """Tell a control replica that this start has left for good."""
+    def deregister(self, control: str) -> Reply:
+        """Remove this run of the server from a control replica's registry."""
         body = json.dumps({"started_at_ms": self.started_at_ms}).encode()
         return call(control, "DELETE", f"/v1/servers/{self.server_id}", body)
 
-    def _serve(self, handler: BaseHTTPRequestHandler) -> None:
+    def _handle_request(self, handler: BaseHTTPRequestHandler) -> None:
         length = int(handler.headers.get("content-length") or 0)
         body = handler.rfile.read(length)
         expected = handler.headers.get("cinderway-expected")
         attempt = handler.headers.get("cinderway-attempt", "")
         if expected != self.server_id:
-            self._answer(handler, 421, attempt, b"")
+            self._send_response(handler, 421, attempt, b"")
             return
         self.arrivals.append(attempt)
         self.deadlines_ms.append(int(handler.headers["cinderway-deadline-ms"]))
-        status = self.behave(attempt)
+        status = self.handle_attempt(attempt)
         if status == "shed":
-            self._answer(handler, 503, attempt, b"", {"cinderway-not-run": "1"})
+            self._send_response(handler, 503, attempt, b"", {"cinderway-not-run": "1"})
             return
         self.runs.append(attempt)
         self.headers[attempt] = str(handler.headers)
@@ -143,14 +146,14 @@
             return
         attempt = "another" if status == "foreign" else attempt
         status = 200 if status == "foreign" else status
-        self._answer(handler, status, attempt, body or b"whole answer")
+        self._send_response(handler, status, attempt, body or b"whole answer")
 
-    def _answer(self, handler, status, attempt, body, headers=None) -> None:
+    def _send_response(self, handler, status, attempt, body, headers=None) -> None:
         handler.send_response(status)
         handler.send_header("cinderway-attempt", attempt)
         if status == 200:
             handler.send_header("cinderway-seal", SEAL.format(id=self.server_id))
-        for name, value in (self.says | (headers or {})).items():
+        for name, value in (self.response_headers | (headers or {})).items():
             handler.send_header(name, value)
         handler.send_header("content-length", str(len(body)))
         handler.end_headers()
@@ -159,7 +162,7 @@
 
 @dataclass
 class CatalogFleet:
-    """Control replicas and entries; everything it started ends with `stop`."""
+    """Control replicas and entries; `stop` ends all processes it started."""
 
     replicas: int = 3
     entries: int = 1
@@ -178,14 +181,14 @@
         self.operators = [f"127.0.0.1:{rest[2 * n + 1]}" for n in range(self.entries)]
 
     def start(self) -> None:
-        """Start everything; nothing is ready until a sheet is put."""
+        """Start all processes; entries become ready only after `put_sheet`."""
         for number in range(self.replicas):
             self.start_control(number, is_first_start=True)
         for number in range(self.entries):
             self.start_entry(number)
 
     def start_control(self, number: int, *, is_first_start: bool = False) -> None:
-        """Start one control replica, with the disk that it left if there is one."""
+        """Start one control replica, reusing its data folder if it exists."""
         host = self.controls[number].rpartition(":")[0]
         self._spawn(
             f"control-{number}",
@@ -200,7 +203,8 @@
                 "tolerated_losses": str(self.tolerated_losses),
                 "data_folder": str(self.path / f"control-{number}"),
                 "shared_key": SHARED_KEY,
-                # Tests of retries must not depend on how much was saved up by then.
+                # Keeps tests of retries independent of how many retry tokens have
+                # accumulated before them.
                 "retry_percent": "100",
                 "retry_burst": "4000",
             },
@@ -230,12 +234,12 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process that this fleet started, and wait for its end."""
+        """Kill a process that this fleet started, and wait until it exits."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def stop(self) -> None:
-        """End everything that this fleet started."""
+        """Kill all processes that this fleet started, and wait until they exit."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -244,20 +248,20 @@
         self.folder.cleanup()
 
     def put_sheet(self, sheet: dict) -> int:
-        """Put a sheet until it is answered clearly; return the status."""
+        """Retry putting a sheet until a status below 500 arrives, and return it."""
         body = json.dumps(sheet).encode()
 
-        def is_answered() -> int | None:
+        def get_status() -> int | None:
             for control in self.controls:
                 status = _status(control, "PUT", "/v1/sheet", body)
                 if status is not None and status < 500:
                     return status
             return None
 
-        return wait_for(is_answered, "an answer to a sheet")
+        return wait_for(get_status, "a definite response to a sheet")
 
     def read_sheet(self) -> bytes:
-        """Return the newest sheet, asking until a leader answers."""
+        """Return the current sheet, retrying until a leader responds."""
 
         def body() -> bytes | None:
             for control in self.controls:
@@ -269,10 +273,10 @@
                     return answer.body
             return None
 
-        return wait_for(body, "an answer to a read")
+        return wait_for(body, "a response to a read")
 
     def register(self, server: RegisteredServer, status: str = "active") -> None:
-        """Make a server's heartbeat known to the fleet."""
+        """Send a server's heartbeat until a control replica acknowledges it."""
 
         def is_acknowledged() -> bool:
             for control in self.controls:
@@ -303,19 +307,22 @@
             )
 
     def log_of(self, name: str) -> str:
-        """What a process has written so far."""
+        """Return a process's output so far."""
         return (self.path / f"{name}.log").read_text()
 
 
 def wait_for(condition, what: str):
-    """Return the first true value; the deadline only ends a test that would hang."""
+    """Poll a condition and return its first true value.
+
+    The timeout only keeps a failing test from hanging.
+    """
     deadline_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < deadline_s:
         found = condition()
         if found:
             return found
         time.sleep(POLL_S)
-    raise AssertionError(f"never happened: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 def _status(address: str, method: str, path: str, body: bytes = b"") -> int | None:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Launch a whole cinderway fleet on loopback, for the demo, the tests and the bench."""
+"""Launch a whole cinderway fleet on loopback for the demo, tests and benchmarks."""
 
 import fcntl
 import http.client
@@ -23,54 +23,54 @@
     "-c",
     "from cinderway._cli import main; main()",
 ]
-# Ends a start that would hang; a busy machine takes its time.
+# Keeps a failed start from hanging; generous because starts are slow on a busy machine.
 START_TIMEOUT_S = 60.0
 PORT_RANGE = (10_000, 32_000)
 
 
-# Ports that one process of tests draws from: some twenty fleets' at a time.
-PORTS_A_PROCESS = 500
+# Ports reserved by one test process, enough for about twenty fleets at a time.
+PORTS_PER_PROCESS = 500
 
 
 @cache
-def _own_ports() -> tuple[range, BinaryIO]:
-    """Return a part of the range that no other process on this machine draws from.
+def _reserve_ports() -> tuple[range, BinaryIO]:
+    """Reserve a block of ports that no other test process on this machine uses.
 
-    It is held by a lock on a file, which ends with the process.
+    The reservation is a lock on a file, released when the process exits.
     """
-    parts = range(*PORT_RANGE, PORTS_A_PROCESS)
-    for start in random.SystemRandom().sample(parts, len(parts)):
+    block_starts = range(*PORT_RANGE, PORTS_PER_PROCESS)
+    for start in random.SystemRandom().sample(block_starts, len(block_starts)):
         name = Path(tempfile.gettempdir()) / f"cinderway-ports-{start}"
-        held = name.open("ab")
+        lock_file = name.open("ab")
         try:
-            fcntl.flock(held, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            held.close()
+            lock_file.close()
             continue
-        return range(start, start + PORTS_A_PROCESS), held
-    raise RuntimeError("all parts of the range of ports are in use by other tests")
+        return range(start, start + PORTS_PER_PROCESS), lock_file
+    raise RuntimeError("other test processes have reserved all blocks of ports")
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that were free a moment ago.
+    """Return ports that nothing listens on at the moment.
 
-    Below the range that outgoing connections get theirs from: a port from it can be
-    taken by one of the fleet's own connections before its process listens.
+    They lie below the ephemeral range: one of the fleet's own outgoing connections
+    could take an ephemeral port before the process that is to listen on it starts.
     """
     ports: set[int] = set()
     rng = random.SystemRandom()
-    own_ports, _ = _own_ports()
+    own_ports, _ = _reserve_ports()
     while len(ports) < count:
         port = rng.choice(own_ports)
-        with socket.socket() as held:
-            if held.connect_ex(("127.0.0.1", port)) != 0:
+        with socket.socket() as probe:
+            if probe.connect_ex(("127.0.0.1", port)) != 0:
                 ports.add(port)
     return sorted(ports)
 
 
 @dataclass(frozen=True)
 class ServerSpec:
-    """A stand-in backend server and its row in the table."""
+    """A simulated backend server and its row in the table."""
 
     name: str
     service: str
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True)
 class ServiceSpec:
-    """A service and its row in the table, as column texts."""
+    """A service and its row in the table; `cells` holds texts by column."""
 
     name: str
     cells: dict[str, str] = field(default_factory=dict)
@@ -89,7 +89,7 @@
 
 @dataclass
 class EntryProcess:
-    """A running entry and where it is reached."""
+    """An entry process and its addresses."""
 
     name: str
     data_hall: str
@@ -100,7 +100,7 @@
 
 
 class Fleet:
-    """Processes of one fleet; everything it started ends with `stop`."""
+    """Processes of one fleet; `stop` ends all processes it started."""
 
     def __init__(
         self,
@@ -145,23 +145,23 @@
     # Starting and stopping.
 
     def start(self) -> None:
-        """Start everything and load the table."""
+        """Start all processes, load the table and wait until entries are ready."""
         self.start_backends()
         for role, addresses in (("control", self.control), ("ledger", self.ledger)):
             if addresses:
-                self.found(role)
+                self.bootstrap_group(role)
             for address in addresses:
                 self.start_replica(role, address)
         for entry in self.entries:
             self.start_entry(entry)
-        # An operator's command gives up after ten seconds. Where the group took longer
-        # to form, the import failed (control paused for 11 s after its start).
-        self.wait_whole()
+        # An operator's command times out after ten seconds. The import failed when the
+        # group took longer to form (control paused for 11 s after its start).
+        self.wait_for_groups()
         self.load_table()
         self.wait_ready()
 
     def start_backends(self) -> None:
-        """Start the stand-in backend servers in one process."""
+        """Start the simulated backend servers in one process."""
         specs = [
             f"{s.name}:{self.server_ports[s.name]}:{s.slots}:{s.work_ms}"
             for s in self.servers
@@ -171,15 +171,15 @@
         for server in self.servers:
             self.wait_for_port(self.server_ports[server.name])
 
-    def found(self, role: str) -> None:
-        """Found a group at its first address."""
+    def bootstrap_group(self, role: str) -> None:
+        """Initialize a replica group with its first address as the only member."""
         address = getattr(self, role)[0]
         folder = self.data_folder(role, address)
         arguments = ["--data-folder", str(folder), "--listen", address]
         subprocess.run([*CINDERWAY, f"found-{role}", *arguments], check=True)
 
     def data_folder(self, role: str, address: str) -> Path:
-        """Where a replica keeps its state."""
+        """Return the folder of a replica's persistent state."""
         return self.path / f"{role}-{address.rpartition(':')[2]}"
 
     def start_replica(self, role: str, address: str) -> None:
@@ -236,11 +236,11 @@
         path.write_text("\n".join(lines) + "\n")
         return str(services), str(path)
 
-    def wait_whole(self) -> None:
-        """Wait until every replica has its vote."""
+    def wait_for_groups(self) -> None:
+        """Wait until all replicas are voters of their groups and a leader exists."""
         deadline_s = time.monotonic() + START_TIMEOUT_S
         for group in (self.control, self.ledger):
-            while group and not self.is_whole(group):
+            while group and not self.is_group_complete(group):
                 if time.monotonic() > deadline_s:
                     raise TimeoutError(f"the replicas at {group} have not joined")
                 time.sleep(0.05)
@@ -257,7 +257,7 @@
                 time.sleep(0.05)
 
     def is_ready(self, entry: EntryProcess) -> bool:
-        """Whether an entry says that it is ready."""
+        """Whether an entry reports that it is ready."""
         try:
             url = f"http://127.0.0.1:{entry.operators_port}/readyz"
             with urllib.request.urlopen(url, timeout=1):
@@ -265,8 +265,8 @@
         except OSError:
             return False
 
-    def is_whole(self, group: list[str]) -> bool:
-        """Whether each replica knows of all as voters, and one of them leads."""
+    def is_group_complete(self, group: list[str]) -> bool:
+        """Whether every replica counts all of them as voters and one is the leader."""
         try:
             found = [self.replica_metrics(address) for address in group]
         except OSError:
@@ -276,15 +276,15 @@
         return voters == {len(group)} and leaders == 1
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Send a signal to a process."""
+        """Send a signal, SIGKILL by default, to a process."""
         self.processes[name].send_signal(number)
 
-    def wait_ended(self, name: str, timeout_s: float = START_TIMEOUT_S) -> int:
-        """Wait for a process to end; return its exit code."""
+    def wait_for_exit(self, name: str, timeout_s: float = START_TIMEOUT_S) -> int:
+        """Wait until a process exits; return its exit code."""
         return self.processes[name].wait(timeout_s)
 
     def stop(self) -> None:
-        """End every process at once."""
+        """Kill all processes, resuming those suspended, and wait until they exit."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -304,7 +304,7 @@
     def __exit__(self, *exc_info):
         self.stop()
 
-    # Steering.
+    # Commands, faults and metrics.
 
     def cli(self, *arguments: str, check: bool = True) -> subprocess.CompletedProcess:
         """Run an operator's command against this fleet."""
@@ -321,21 +321,21 @@
             raise RuntimeError(result.stdout + result.stderr)
         return result
 
-    def fault(self, server: str, **faults) -> dict:
-        """Set a server's faults; none heals it. Returns its counts."""
-        return self._steer(server, "fault", json.dumps(faults).encode())
+    def set_faults(self, server: str, **faults) -> dict:
+        """Replace a server's faults, no arguments removing all; return its counters."""
+        return self._send_command(server, "fault", json.dumps(faults).encode())
 
     def counts(self, server: str) -> dict:
-        """Return what a server did so far."""
-        return self._steer(server, "counts", b"")
+        """Return a server's counters."""
+        return self._send_command(server, "counts", b"")
 
-    def _steer(self, server: str, what: str, body: bytes) -> dict:
+    def _send_command(self, server: str, what: str, body: bytes) -> dict:
         url = f"http://127.0.0.1:{self.server_ports[server]}/_standin/{what}"
         with urllib.request.urlopen(url, data=body or b" ", timeout=5) as answer:
             return json.load(answer)
 
     def metrics(self, entry: EntryProcess) -> dict[str, float]:
-        """Return an entry's metrics, each under its name with labels."""
+        """Return an entry's metrics by name with labels."""
         return _read_metrics(entry.operators_port)
 
     def replica_metrics(self, address: str) -> dict[str, float]:
@@ -350,7 +350,7 @@
         return process
 
     def log_of(self, name: str) -> str:
-        """Return what a process wrote so far."""
+        """Return a process's output so far."""
         return (self.path / f"{name}.log").read_text()
 
     def wait_for_port(self, port: int) -> None:
@@ -371,7 +371,7 @@
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
 ) -> tuple[int, dict, bytes]:
-    """Send one request to an entry and return its whole answer."""
+    """Send one request to an entry; return status, headers and body."""
     connection = http.client.HTTPConnection("127.0.0.1", entry.callers_port, timeout=30)
     try:
         connection.request(method, path, body, headers or {})
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Callers: an open-loop load over kept-alive loopback connections, bounded in time."""
+"""An open-loop load generator that uses keep-alive connections on loopback."""
 
 import asyncio
 import random
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 
 TIMEOUT_S = 30.0
-LIMIT_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 
 
 @dataclass
 class Answer:
-    """A whole answer; status 0 is a broken connection."""
+    """A complete response; status 0 means a failed connection or a timeout."""
 
     status: int
     body: bytes
@@ -23,9 +23,9 @@
 
 @dataclass
 class Caller:
-    """Sends requests to any port; keeps connections for the next ones."""
+    """A client that sends requests to any port and reuses idle connections."""
 
-    idle: dict[int, list] = field(default_factory=dict)
+    idle_connections: dict[int, list] = field(default_factory=dict)
 
     async def request(
         self,
@@ -35,7 +35,7 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
     ) -> Answer:
-        """Send one request and return its answer."""
+        """Send one request and return its response."""
         began_s, sent_at_s = time.perf_counter(), time.time()
         try:
             async with asyncio.timeout(TIMEOUT_S):
@@ -48,12 +48,12 @@
         return Answer(status, content, fields, latency_s, sent_at_s)
 
     async def _exchange(self, port, method, path, headers, body):
-        idle = self.idle.setdefault(port, [])
-        if idle:
-            reader, writer = idle.pop()
+        idle_connections = self.idle_connections.setdefault(port, [])
+        if idle_connections:
+            reader, writer = idle_connections.pop()
         else:
             reader, writer = await asyncio.open_connection(
-                "127.0.0.1", port, limit=LIMIT_BYTES
+                "127.0.0.1", port, limit=READ_BUFFER_BYTES
             )
         try:
             fields = {"host": "x", "content-length": str(len(body)), **headers}
@@ -61,9 +61,9 @@
             lines += [f"{name}: {value}" for name, value in fields.items()]
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-            first, *rest = head.strip().split("\r\n")
+            status_line, *header_lines = head.strip().split("\r\n")
             answer_fields = {}
-            for line in rest:
+            for line in header_lines:
                 name, _, value = line.partition(":")
                 answer_fields[name.lower()] = value.strip()
             length = int(answer_fields.get("content-length", "0"))
@@ -74,13 +74,13 @@
         if answer_fields.get("connection", "").lower() == "close":
             writer.close()
         else:
-            idle.append((reader, writer))
-        return int(first.split()[1]), answer_fields, content
+            idle_connections.append((reader, writer))
+        return int(status_line.split()[1]), answer_fields, content
 
 
 @dataclass(frozen=True)
 class Stream:
-    """A kind of request that comes in at a steady rate, at random moments."""
+    """One kind of request, sent as a Poisson process with a constant mean rate."""
 
     name: str
     rate_per_s: float
@@ -92,7 +92,7 @@
 
 @dataclass
 class Load:
-    """Streams of requests spread over entries, as a balancer would."""
+    """Request streams spread randomly over entries, as by a load balancer."""
 
     ports: list[int]
     streams: list[Stream]
@@ -102,12 +102,12 @@
     keys: int = 0
 
     async def run(self, duration_s: float) -> None:
-        """Send for a while, then wait for the last answers."""
+        """Send requests for a duration, then wait for the remaining responses."""
         async with asyncio.TaskGroup() as tasks:
             for stream in self.streams:
-                tasks.create_task(self._run_stream(tasks, stream, duration_s))
+                tasks.create_task(self._send_stream(tasks, stream, duration_s))
 
-    async def _run_stream(self, tasks, stream, duration_s):
+    async def _send_stream(self, tasks, stream, duration_s):
         end_s = time.perf_counter() + duration_s
         next_s = time.perf_counter()
         while next_s < end_s:
@@ -127,11 +127,11 @@
         self.answers.setdefault(stream.name, []).append(answer)
 
     def statuses(self, name: str) -> Counter:
-        """Count a stream's answers by status."""
+        """Count a stream's responses by status."""
         return Counter(answer.status for answer in self.answers.get(name, []))
 
     def failed(self) -> int:
-        """Count answers that are not good, over all streams."""
+        """Count failed responses, status 0 or at least 500, over all streams."""
         return sum(
             answer.status == 0 or answer.status >= 500
             for answers in self.answers.values()
--- a/tests/system/test_catalog.py
+++ b/tests/system/test_catalog.py
@@ -109,8 +109,8 @@
 
     def test_a_failed_repeatable_request_goes_to_another_server(self):
         failing = {"look1", "look2"}
-        self.servers["look1"].behave = lambda attempt: 500 if failing else 200
-        self.servers["look2"].behave = lambda attempt: 200
+        self.servers["look1"].handle_attempt = lambda attempt: 500 if failing else 200
+        self.servers["look2"].handle_attempt = lambda attempt: 200
         for number in range(4):
             answer = self.ask("/look/x", f"b{number}")
             self.assertEqual(answer.status, 200)
@@ -119,14 +119,14 @@
         for kind in ("drop", 500, "foreign"):
             with self.subTest(kind):
                 for name in ("sub1", "sub2"):
-                    self.servers[name].behave = lambda attempt, kind=kind: kind
+                    self.servers[name].handle_attempt = lambda attempt, kind=kind: kind
                 attempt = f"once-{kind}"
                 answer = self.ask("/once/x", attempt, "POST", b"pay")
                 self.assertIn(answer.status, (500, 502))
                 self.assertEqual(self.runs(attempt), 1)
 
     def test_a_request_that_a_server_did_not_run_goes_to_another(self):
-        self.servers["sub1"].behave = lambda attempt: "shed"
+        self.servers["sub1"].handle_attempt = lambda attempt: "shed"
         for number in range(3):
             answer = self.ask("/once/x", f"shed-{number}", "POST", b"pay")
             self.assertIn(answer.status, (200, 503))
@@ -134,7 +134,7 @@
 
     def test_a_request_that_no_server_ran_says_so_and_when_to_come_back(self):
         for name in ("sub1", "sub2"):
-            self.servers[name].behave = lambda attempt: "shed"
+            self.servers[name].handle_attempt = lambda attempt: "shed"
         answer = self.ask("/once/x", "none", "POST", b"pay")
         self.assertEqual(answer.status, 503)
         self.assertGreater(float(answer.headers["retry-after"]), 0)
@@ -145,7 +145,7 @@
         release = threading.Event()
         self.addCleanup(release.set)
         for name in ("sub1", "sub2"):
-            self.servers[name].behave = lambda attempt: release.wait(10) and 200
+            self.servers[name].handle_attempt = lambda attempt: release.wait(10) and 200
         self.assertEqual(self.ask("/once/x", "late", "POST", b"pay").status, 504)
 
     def test_each_request_leaves_a_line_with_its_inputs(self):
@@ -269,7 +269,7 @@
 
     def test_a_server_that_leaves_by_its_answers_alone_gets_nothing_more(self):
         leaving = self.servers["look1"]
-        leaving.says = {"cinderway-drain": "1"}
+        leaving.response_headers = {"cinderway-drain": "1"}
         for number in range(12):
             answer = self.ask("/look/x", f"g{number}")
             self.assertEqual(answer.status, 200)
@@ -278,8 +278,8 @@
 
     def test_a_server_that_asks_for_rest_gets_nothing_until_it_is_over(self):
         resting = self.servers["sub1"]
-        resting.behave = lambda attempt: "shed"
-        resting.says = {"retry-after": "30"}
+        resting.handle_attempt = lambda attempt: "shed"
+        resting.response_headers = {"retry-after": "30"}
         for number in range(12):
             # Without a second try granted it is refused, which must be true.
             answer = self.ask("/once/x", f"r{number}", "POST")
@@ -289,8 +289,8 @@
 
     def test_a_request_for_which_all_servers_rest_is_refused_at_once(self):
         for name in ("sub1", "sub2"):
-            self.servers[name].behave = lambda attempt: "shed"
-            self.servers[name].says = {"retry-after": "30"}
+            self.servers[name].handle_attempt = lambda attempt: "shed"
+            self.servers[name].response_headers = {"retry-after": "30"}
         answers = [self.ask("/once/x", f"s{number}", "POST") for number in range(4)]
         last = answers[-1]
         self.assertEqual(last.status, 503)
@@ -316,7 +316,7 @@
         """Control passes its word on: each entry alone would send it every second."""
         rate_per_s = 0.5
         limited = self.servers["sub1"]
-        limited.says = {"cinderway-rate-limit": str(rate_per_s)}
+        limited.response_headers = {"cinderway-rate-limit": str(rate_per_s)}
         began_s = time.monotonic()
         for number in range(60):
             entry = self.fleet.callers[number % self.entries]
@@ -331,8 +331,8 @@
 
     def test_its_part_is_used_while_control_is_away(self):
         limited = self.servers["sub1"]
-        limited.says = {"cinderway-rate-limit": "2"}
-        self.servers["sub2"].says = {"cinderway-rate-limit": "2"}
+        limited.response_headers = {"cinderway-rate-limit": "2"}
+        self.servers["sub2"].response_headers = {"cinderway-rate-limit": "2"}
         wait_for(lambda: all(self.told_of_parts()), "entries that know their parts")
         self.ask_all("first")
         for number in range(self.fleet.replicas):
@@ -388,7 +388,7 @@
         for name in ("sub1", "sub2"):
             self.servers[name].started_at_ms = 100
             self.fleet.register(self.servers[name])
-            self.servers[name].leave(self.fleet.controls[0])
+            self.servers[name].deregister(self.fleet.controls[0])
             _, later = self.start_again(name, 200)
             self.fleet.register(later)
         self.ask_until(200, "/once/x", "back", "POST")
@@ -406,7 +406,7 @@
         self.servers["look3"] = third
         self.fleet.register(third)
         for name in ("look1", "look2", "look3"):
-            self.servers[name].behave = lambda attempt: (
+            self.servers[name].handle_attempt = lambda attempt: (
                 "drop" if attempt.startswith("bad") else 200
             )
         self.asked = 0
@@ -445,7 +445,7 @@
         row = self.listed("refused")
         self.assertEqual(len(row["servers"]), 3)
         for name in ("look1", "look2", "look3"):
-            self.servers[name].behave = lambda attempt: 200
+            self.servers[name].handle_attempt = lambda attempt: 200
         self.refusals("DELETE", row["digest"])
         wait_for(lambda: self.ask_bad(0).status == 200, "the request served again")
         wait_for(lambda: self.ask_bad(1).status == 200, "the request served again")
@@ -518,7 +518,7 @@
     def test_a_stopping_entry_ends_its_requests_first(self):
         release = threading.Event()
         for name in ("sub1", "sub2"):
-            self.servers[name].behave = lambda attempt: release.wait(10) and 200
+            self.servers[name].handle_attempt = lambda attempt: release.wait(10) and 200
         answers = []
         asking = threading.Thread(
             target=lambda: answers.append(self.ask("/once/x", "h1", "POST"))
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -12,7 +12,7 @@
         for address in self.fleet.control:
             self.fleet.kill(f"control-{address}")
         for address in self.fleet.control:
-            self.fleet.wait_ended(f"control-{address}")
+            self.fleet.wait_for_exit(f"control-{address}")
             self.fleet.start_replica("control", address)
         self.wait_until(self.leader, "a leader after the restart")
         shown = self.fleet.cli("table", "show", "servers").stdout
@@ -32,7 +32,7 @@
             self.set_weight(number + 1)
             old_ids = self.whole_group()
             self.fleet.kill(f"control-{address}")
-            self.fleet.wait_ended(f"control-{address}")
+            self.fleet.wait_for_exit(f"control-{address}")
             shutil.rmtree(self.fleet.data_folder("control", address))
             self.fleet.start_replica("control", address)
             self.wait_until(
@@ -91,7 +91,7 @@
             self.fleet.kill(f"control-{address}")
         entry = self.fleet.entries[0]
         self.fleet.kill(entry.name)
-        self.fleet.wait_ended(entry.name)
+        self.fleet.wait_for_exit(entry.name)
         self.fleet.start_entry(entry)
         self.wait_until(lambda: self.fleet.is_ready(entry), "ready by its peers")
         self.assertGreaterEqual(self.revision_in_force(entry), 2)
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -44,7 +44,7 @@
 
     def test_answer_lost_by_the_backend_server_is_unknown_and_never_run_again(self):
         for server in ("readings-1", "readings-2"):
-            self.fleet.fault(server, drop_answer=True)
+            self.fleet.set_faults(server, drop_answer=True)
         deadline = {"Cinderway-Deadline-Ms": "800"}
         first = self.post(self.fleet.entries[0], **deadline)
         again = self.post(self.fleet.entries[1], **deadline)
@@ -54,7 +54,7 @@
 
     def test_entry_killed_while_it_runs_leaves_a_claim_that_operators_settle(self):
         for server in ("readings-1", "readings-2"):
-            self.fleet.fault(server, stall=True)
+            self.fleet.set_faults(server, stall=True)
         entry, other = self.fleet.entries[:2]
         deadline = {"Cinderway-Deadline-Ms": "1500"}
         with ThreadPoolExecutor(1) as pool:
@@ -91,14 +91,15 @@
     def test_run_once_goes_on_when_a_ledger_replica_is_killed(self):
         for number, address in enumerate(self.fleet.ledger):
             self.fleet.kill(f"ledger-{address}")
-            self.fleet.wait_ended(f"ledger-{address}")
+            self.fleet.wait_for_exit(f"ledger-{address}")
             key = f"kill-{number}"
             self.assertEqual(self.post(self.fleet.entries[number], key)[0], 200)
             self.assertEqual(self.runs_of(key), 1)
             self.fleet.start_replica("ledger", address)
             # Two of three down at once would rightly be refused.
             self.wait_until(
-                lambda: self.fleet.is_whole(self.fleet.ledger), "the replica back"
+                lambda: self.fleet.is_group_complete(self.fleet.ledger),
+                "the replica back",
             )
             again = self.post(self.fleet.entries[0], f"kill-{number}")
             self.assertEqual(again[1]["cinderway-outcome"], "ran")
@@ -108,14 +109,14 @@
 class AnswerTest(FleetCase):
     def test_download_goes_on_at_another_server_when_one_cuts_it(self):
         for server in ("maps-1", "maps-2"):
-            self.fleet.fault(server, cut_body=True)
+            self.fleet.set_faults(server, cut_body=True)
         for entry in self.fleet.entries:
             _, _, body = request(entry, "GET", f"/maps/{MAP_KIB}")
             self.assertEqual(body, map_bytes(0, MAP_KIB * 1024))
 
     def test_download_that_cannot_go_on_is_visibly_broken(self):
         for server in ("maps-1", "maps-2", "maps-3"):
-            self.fleet.fault(server, cut_body=True, weak_etag=True)
+            self.fleet.set_faults(server, cut_body=True, weak_etag=True)
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.fleet.entries[0].callers_port, timeout=30
         )
@@ -128,7 +129,7 @@
     def test_late_answer_never_reaches_another_request(self):
         entry = self.fleet.entries[0]
         for server in (f"lookup-{n}" for n in range(1, 5)):
-            self.fleet.fault(server, stall=True)
+            self.fleet.set_faults(server, stall=True)
         late = {"Cinderway-Deadline-Ms": "400"}
         with ThreadPoolExecutor(8) as pool:
             list(
@@ -138,7 +139,7 @@
                 )
             )
         for server in (f"lookup-{n}" for n in range(1, 5)):
-            self.fleet.fault(server)
+            self.fleet.set_faults(server)
         for number in range(40):
             path = f"/lookup/own-{number}"
             status, _, body = request(entry, "GET", path)
@@ -148,7 +149,7 @@
     def test_caller_that_leaves_cancels_its_request_downstream(self):
         """At a service without probes, whose requests could be taken for it."""
         for number in (1, 2, 3):
-            self.fleet.fault(f"maps-{number}", stall=True)
+            self.fleet.set_faults(f"maps-{number}", stall=True)
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.fleet.entries[0].callers_port, timeout=30
         )
@@ -165,14 +166,14 @@
         return sum(self.fleet.counts(f"maps-{n}")[what] for n in (1, 2, 3))
 
     def test_drain_signal_seen_by_one_entry_reaches_all(self):
-        self.fleet.fault("lookup-1", drain=True)
+        self.fleet.set_faults("lookup-1", drain=True)
         self.wait_until(
             lambda: "lookup-1" not in self.servers_of(30), "every entry told"
         )
         self.assertNotIn("lookup-1", self.servers_of(60))
 
     def test_a_server_that_asks_for_rest_gets_one_request_of_each_entry(self):
-        self.fleet.fault("readings-1", rest_s=30)
+        self.fleet.set_faults("readings-1", rest_s=30)
         shed_before = self.fleet.counts("readings-1")["shed"]
         for number in range(18):
             entry = self.fleet.entries[number % len(self.fleet.entries)]
@@ -185,7 +186,7 @@
     def test_a_server_that_names_a_rate_gets_no_more_from_all_entries_together(self):
         """The assessors pass its word on: each entry alone would send it a third."""
         rate_per_s = 0.5
-        self.fleet.fault("readings-1", rate_limit_per_s=rate_per_s)
+        self.fleet.set_faults("readings-1", rate_limit_per_s=rate_per_s)
         served_before = self.fleet.counts("readings-1")["served"]
         began_s = time.monotonic()
         for number in range(60):
@@ -238,7 +239,7 @@
                     self.fleet.kill(entry.name, 15)
                     time.sleep(0.5)
                     balanced.discard(entry.callers_port)
-                    self.assertEqual(self.fleet.wait_ended(entry.name), 0)
+                    self.assertEqual(self.fleet.wait_for_exit(entry.name), 0)
                     self.fleet.start_entry(entry)
                     self.wait_until(
                         lambda entry=entry: self.fleet.is_ready(entry), "ready again"
@@ -260,4 +261,4 @@
             )
             self.fleet.kill(entry.name, 15)
             self.assertEqual({answer.result()[0] for answer in sent}, {200})
-        self.assertEqual(self.fleet.wait_ended(entry.name), 0)
+        self.assertEqual(self.fleet.wait_for_exit(entry.name), 0)
