--- a/tests/docs/test_pages.py
+++ b/tests/docs/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' pages say what the code does."""
+"""Tests that the operators' pages match the code."""
 
 import re
 import unittest
@@ -12,15 +12,15 @@
 
 
 class PagesTest(unittest.TestCase):
-    def test_columns_page_is_what_the_declarations_give(self):
+    def test_columns_page_matches_the_declarations(self):
         self.assertEqual(PAGE.read_text(), page())
 
-    def test_each_error_code_is_explained(self):
+    def test_each_error_code_is_documented(self):
         text = (DOCS / "operators/errors.md").read_text()
         for code in ErrorCode:
             self.assertIn(f"`{code.value}`", text)
 
-    def test_links_between_pages_lead_somewhere(self):
+    def test_links_between_pages_have_existing_targets(self):
         for path in DOCS.rglob("*.md"):
             for target in LINK.findall(path.read_text()):
                 with self.subTest(page=path.name, target=target):
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""Templates, names and requirements for the platform fit the product."""
+"""Tests that the platform's templates, names and requirements fit the product."""
 
 import re
 import tomllib
@@ -13,8 +13,8 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-# What a template's gaps are filled with here; the values only need the right form.
-FILLED = {
+# Values for the templates' placeholders; only their format matters.
+PLACEHOLDER_VALUES = {
     "nodeName": "edge-suva-hall-1",
     "data_hall": "suva-hall",
     "ip": "10.1.0.34",
@@ -29,10 +29,10 @@
     "dataDir": "/data/control",
     "bounds.quotaWindowS": "5",
     "bounds.quotaOvershoot": "0.1",
-    # A missing value gives nothing.
+    # The platform fills in an empty text for a missing value.
     "bounds.quotaSlack": "",
 }
-# Header names and message fields of the platform that the product must not know.
+# The platform's header names, message fields and paths; they must not occur in src.
 PLATFORM_NAMES = (
     "Cinderway-Attempt-Id",
     "Cinderway-Expected-Instance",
@@ -48,12 +48,18 @@
 )
 
 
-def filled(template):
+def fill_template(template):
     text = (ROOT / "platform" / template).read_text()
-    return tomllib.loads(re.sub(r"\{\{(.*?)\}\}", lambda gap: FILLED[gap[1]], text))
+    return tomllib.loads(
+        re.sub(
+            r"\{\{(.*?)\}\}",
+            lambda placeholder: PLACEHOLDER_VALUES[placeholder[1]],
+            text,
+        )
+    )
 
 
-def texts_of(values):
+def format_values(values):
     return {
         name: str(value).lower() if isinstance(value, bool) else str(value)
         for name, value in values.items()
@@ -61,17 +67,17 @@
 
 
 class TemplateTests(unittest.TestCase):
-    def test_templates_give_whole_and_valid_settings(self):
+    def test_templates_yield_valid_settings(self):
         for template, kind in (
             ("entry.toml", CatalogEntrySettings),
             ("control.toml", CatalogControlSettings),
         ):
             with self.subTest(template):
-                values = filled(template)
+                values = fill_template(template)
                 self.assertEqual(values.keys() - settings_of(kind).keys(), set())
-                parse_settings(kind, texts_of(values))
+                parse_settings(kind, format_values(values))
 
-    def test_roles_start_commands_with_a_template_that_is_there(self):
+    def test_templates_and_programs_of_all_roles_exist(self):
         deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text())
         for role in deploy["roles"].values():
             self.assertTrue((ROOT / role["template"]).is_file())
@@ -79,16 +85,16 @@
 
 
 class BoundaryTests(unittest.TestCase):
-    def test_the_build_takes_only_what_the_lock_holds(self):
+    def test_build_requirements_are_in_the_lock_file(self):
         locked = set((ROOT / "requirements.lock").read_text().split())
         built = set((ROOT / "deploy/requirements.txt").read_text().split())
         self.assertEqual(built - locked, set())
 
-    def test_the_product_does_not_know_the_platforms_names(self):
+    def test_the_product_contains_none_of_the_platforms_names(self):
         for path in (ROOT / "src").rglob("*.py"):
             text = path.read_text().lower()
             found = [name for name in PLATFORM_NAMES if name.lower() in text]
             self.assertEqual(found, [], path)
 
-    def test_the_platforms_folder_hides_no_standard_module(self):
+    def test_the_platform_folder_is_not_a_package(self):
         self.assertFalse((ROOT / "platform/__init__.py").exists())
--- a/tests/system/support.py
+++ b/tests/system/support.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes for the tests of failures."""
+"""A small fleet of real processes for tests of process and network failures."""
 
 import time
 import unittest
@@ -6,8 +6,8 @@
 from standins.fleet import Fleet, ServerSpec, ServiceSpec
 
 HALLS = ["suva", "nadi"]
-PATIENCE_S = 30.0
-PAUSE_S = 0.05
+WAIT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 SERVICES = [
     ServiceSpec("lookup", {"routes": "/lookup", "probe_path": "/lookup/probe"}),
@@ -21,13 +21,13 @@
     ),
     ServiceSpec("maps", {"routes": "/maps", "answer_mode": "stream"}),
 ]
-COUNTS = {"lookup": 4, "readings": 2, "maps": 3}
+SERVER_COUNTS = {"lookup": 4, "readings": 2, "maps": 3}
 
 
-def small_fleet(entries=3, **options):
+def build_small_fleet(entries=3, **options):
     servers = [
         ServerSpec(f"{service}-{n + 1}", service, HALLS[n % 2])
-        for service, count in COUNTS.items()
+        for service, count in SERVER_COUNTS.items()
         for n in range(count)
     ]
     options.setdefault("entry_options", {"drain-ms": "3000"})
@@ -35,39 +35,39 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Each test has a fleet of its own: what one breaks, no other finds."""
+    """Starts a separate fleet for each test, so that tests do not affect each other."""
 
     entries = 3
 
     def setUp(self):
-        self.fleet = small_fleet(self.entries)
+        self.fleet = build_small_fleet(self.entries)
         self.addCleanup(self.fleet.stop)
         self.fleet.start()
 
-    def wait_until(self, is_so, what):
-        """Wait for a state; the deadline only ends a test that would hang."""
-        deadline_s = time.monotonic() + PATIENCE_S
+    def wait_until(self, condition, description):
+        """Poll a condition; the timeout only keeps a failing test from hanging."""
+        deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < deadline_s:
-            if is_so():
+            if condition():
                 return
-            time.sleep(PAUSE_S)
-        self.fail(f"never happened: {what}")
+            time.sleep(POLL_INTERVAL_S)
+        self.fail(f"timed out waiting for: {description}")
 
-    def set_weight(self, value, check=True):
+    def set_server_weight(self, value, check=True):
         return self.fleet.cli(
             "table", "set", "servers", "lookup-1", "weight", str(value), check=check
         )
 
-    def revision_in_force(self, entry):
+    def get_applied_revision(self, entry):
         return int(self.fleet.metrics(entry)["cinderway_table_revision"])
 
-    def status(self):
+    def read_status(self):
         return self.fleet.cli("table", "status", check=False).stdout
 
-    def leader(self, role="control"):
-        lines = [line for line in self.status().splitlines() if ": leader" in line]
+    def find_leader(self, role="control"):
+        lines = [line for line in self.read_status().splitlines() if ": leader" in line]
         return lines[0].split()[1].rstrip(":") if lines else None
 
-    def runs_of(self, key):
+    def count_runs(self, key):
         servers = [s.name for s in self.fleet.servers if s.service == "readings"]
         return sum(self.fleet.counts(s)["runs"].get(key, 0) for s in servers)
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests of callers while backend servers, entries and the ledger fail."""
+"""Tests of callers' requests while backend servers, entries and the ledger fail."""
 
 import http.client
 import json
@@ -18,7 +18,7 @@
         fields = {**KEY, "Idempotency-Key": key, **headers}
         return request(entry, "POST", "/readings/m", body, fields)
 
-    def test_submission_sent_at_once_through_every_entry_runs_once(self):
+    def test_a_submission_sent_concurrently_through_every_entry_runs_once(self):
         for number in range(5):
             key = f"many-{number}"
             with ThreadPoolExecutor(6) as pool:
@@ -27,7 +27,7 @@
                         lambda e, key=key: self.post(e, key), self.fleet.entries * 2
                     )
                 )
-            self.assertEqual(self.runs_of(key), 1)
+            self.assertEqual(self.count_runs(key), 1)
             self.assertEqual({answer[2] for answer in answers}, {answers[0][2]})
             self.assertEqual({answer[0] for answer in answers}, {200})
 
@@ -36,13 +36,13 @@
         status, headers, _ = self.post(self.fleet.entries[1], body=b"43")
         self.assertEqual(status, 422)
         self.assertEqual(headers["cinderway-outcome"], "not_run")
-        self.assertEqual(self.runs_of("key-1"), 1)
+        self.assertEqual(self.count_runs("key-1"), 1)
 
     def test_submission_without_a_key_is_refused_where_one_is_required(self):
         status, headers, _ = request(self.fleet.entries[0], "POST", "/readings/m", b"1")
         self.assertEqual((status, headers["cinderway-outcome"]), (428, "not_run"))
 
-    def test_answer_lost_by_the_backend_server_is_unknown_and_never_run_again(self):
+    def test_a_submission_whose_response_is_lost_is_unknown_and_not_rerun(self):
         for server in ("readings-1", "readings-2"):
             self.fleet.set_faults(server, drop_answer=True)
         deadline = {"Cinderway-Deadline-Ms": "800"}
@@ -50,7 +50,7 @@
         again = self.post(self.fleet.entries[1], **deadline)
         self.assertEqual(first[1]["cinderway-outcome"], "unknown")
         self.assertEqual(again[1]["cinderway-outcome"], "unknown")
-        self.assertEqual(self.runs_of("key-1"), 1)
+        self.assertEqual(self.count_runs("key-1"), 1)
 
     def test_entry_killed_while_it_runs_leaves_a_claim_that_operators_settle(self):
         for server in ("readings-1", "readings-2"):
@@ -76,7 +76,7 @@
         self.fleet.cli("claims", "settle", "readings", "ana", "key-1", "ran")
         self.assertIn("0 in doubt", self.fleet.cli("claims", "list").stdout)
 
-    def test_ledger_without_quorum_refuses_run_once_and_nothing_else(self):
+    def test_without_a_ledger_quorum_only_run_once_requests_are_refused(self):
         for address in self.fleet.ledger[:2]:
             self.fleet.kill(f"ledger-{address}")
         status, headers, _ = self.post(
@@ -85,36 +85,36 @@
         self.assertEqual(status, 503)
         self.assertEqual(headers["cinderway-outcome"], "not_run")
         self.assertIn("retry-after", headers)
-        self.assertEqual(self.runs_of("key-1"), 0)
+        self.assertEqual(self.count_runs("key-1"), 0)
         self.assertEqual(request(self.fleet.entries[0], "GET", "/lookup/a")[0], 200)
 
-    def test_run_once_goes_on_when_a_ledger_replica_is_killed(self):
+    def test_run_once_requests_succeed_after_a_ledger_replica_is_killed(self):
         for number, address in enumerate(self.fleet.ledger):
             self.fleet.kill(f"ledger-{address}")
             self.fleet.wait_for_exit(f"ledger-{address}")
             key = f"kill-{number}"
             self.assertEqual(self.post(self.fleet.entries[number], key)[0], 200)
-            self.assertEqual(self.runs_of(key), 1)
+            self.assertEqual(self.count_runs(key), 1)
             self.fleet.start_replica("ledger", address)
-            # Two of three down at once would rightly be refused.
+            # With two of three replicas down the request would be refused, correctly.
             self.wait_until(
                 lambda: self.fleet.is_group_complete(self.fleet.ledger),
-                "the replica back",
+                "the replica in the group",
             )
             again = self.post(self.fleet.entries[0], f"kill-{number}")
             self.assertEqual(again[1]["cinderway-outcome"], "ran")
-            self.assertEqual(self.runs_of(key), 1)
+            self.assertEqual(self.count_runs(key), 1)
 
 
 class AnswerTest(FleetCase):
-    def test_download_goes_on_at_another_server_when_one_cuts_it(self):
+    def test_an_interrupted_download_is_resumed_at_another_server(self):
         for server in ("maps-1", "maps-2"):
             self.fleet.set_faults(server, cut_body=True)
         for entry in self.fleet.entries:
             _, _, body = request(entry, "GET", f"/maps/{MAP_KIB}")
             self.assertEqual(body, map_bytes(0, MAP_KIB * 1024))
 
-    def test_download_that_cannot_go_on_is_visibly_broken(self):
+    def test_a_download_that_cannot_be_resumed_ends_with_an_error(self):
         for server in ("maps-1", "maps-2", "maps-3"):
             self.fleet.set_faults(server, cut_body=True, weak_etag=True)
         connection = http.client.HTTPConnection(
@@ -126,7 +126,7 @@
         with self.assertRaises((http.client.IncompleteRead, OSError)):
             answer.read()
 
-    def test_late_answer_never_reaches_another_request(self):
+    def test_a_late_response_never_reaches_another_request(self):
         entry = self.fleet.entries[0]
         for server in (f"lookup-{n}" for n in range(1, 5)):
             self.fleet.set_faults(server, stall=True)
@@ -146,8 +146,11 @@
             if status == 200:
                 self.assertEqual(json.loads(body)["echo"], path + "?")
 
-    def test_caller_that_leaves_cancels_its_request_downstream(self):
-        """At a service without probes, whose requests could be taken for it."""
+    def test_a_callers_disconnect_cancels_its_request_at_the_server(self):
+        """Uses a service without probes.
+
+        A probe in progress would otherwise be counted as the caller's request.
+        """
         for number in (1, 2, 3):
             self.fleet.set_faults(f"maps-{number}", stall=True)
         connection = http.client.HTTPConnection(
@@ -168,11 +171,12 @@
     def test_drain_signal_seen_by_one_entry_reaches_all(self):
         self.fleet.set_faults("lookup-1", drain=True)
         self.wait_until(
-            lambda: "lookup-1" not in self.servers_of(30), "every entry told"
+            lambda: "lookup-1" not in self.find_answering_servers(30),
+            "every entry informed",
         )
-        self.assertNotIn("lookup-1", self.servers_of(60))
+        self.assertNotIn("lookup-1", self.find_answering_servers(60))
 
-    def test_a_server_that_asks_for_rest_gets_one_request_of_each_entry(self):
+    def test_a_server_with_retry_after_gets_at_most_one_request_per_entry(self):
         self.fleet.set_faults("readings-1", rest_s=30)
         shed_before = self.fleet.counts("readings-1")["shed"]
         for number in range(18):
@@ -183,8 +187,11 @@
         shed = self.fleet.counts("readings-1")["shed"] - shed_before
         self.assertLessEqual(shed, len(self.fleet.entries))
 
-    def test_a_server_that_names_a_rate_gets_no_more_from_all_entries_together(self):
-        """The assessors pass its word on: each entry alone would send it a third."""
+    def test_all_entries_together_stay_within_a_servers_rate_limit(self):
+        """The assessors distribute a server's rate limit to all entries.
+
+        Acting on its own, each entry would send this server a third of the requests.
+        """
         rate_per_s = 0.5
         self.fleet.set_faults("readings-1", rate_limit_per_s=rate_per_s)
         served_before = self.fleet.counts("readings-1")["served"]
@@ -194,19 +201,20 @@
             fields = {"Idempotency-Key": f"limit-{number}", "X-Caller": "ana"}
             status, _, _ = request(entry, "POST", "/readings/m", b"42", fields)
             self.assertEqual(status, 200)
-        took_s = time.monotonic() - began_s
+        elapsed_s = time.monotonic() - began_s
         served = self.fleet.counts("readings-1")["served"] - served_before
-        # What it bears, and one from each entry that had not heard of it.
-        bearable = 1.5 * rate_per_s * took_s + 5
-        self.assertLessEqual(served, bearable + len(self.fleet.entries))
+        # The number of requests the server accepts in this time, plus one from each
+        # entry that did not yet know the limit.
+        allowed = 1.5 * rate_per_s * elapsed_s + 5
+        self.assertLessEqual(served, allowed + len(self.fleet.entries))
 
-    def servers_of(self, count):
-        """Return who answers `count` lookups spread over all entries."""
+    def find_answering_servers(self, count):
+        """Return the servers that answer `count` lookups spread over all entries."""
         entries = self.fleet.entries * (count // len(self.fleet.entries))
         answers = [request(entry, "GET", "/lookup/a") for entry in entries]
         return {json.loads(body)["server"] for _, _, body in answers}
 
-    def test_refusal_says_what_happened_and_whether_it_ran(self):
+    def test_a_refusal_names_its_error_and_outcome(self):
         status, headers, body = request(self.fleet.entries[0], "GET", "/nowhere")
         problem = json.loads(body)
         self.assertEqual((status, headers["cinderway-outcome"]), (404, "not_run"))
@@ -215,12 +223,14 @@
 
 
 class StopTest(FleetCase):
-    def test_restart_of_every_entry_in_turn_cuts_no_request(self):
+    def test_a_rolling_restart_of_the_entries_interrupts_no_request(self):
         stop, results = [], []
 
         def caller(number):
             while not stop:
-                ready = [e for e in self.fleet.entries if e.callers_port in balanced]
+                ready = [
+                    e for e in self.fleet.entries if e.callers_port in balanced_ports
+                ]
                 if not ready:
                     continue
                 entry = ready[number % len(ready)]
@@ -230,7 +240,7 @@
                 except (OSError, http.client.HTTPException) as error:
                     results.append(repr(error))
 
-        balanced = {entry.callers_port for entry in self.fleet.entries}
+        balanced_ports = {entry.callers_port for entry in self.fleet.entries}
         with ThreadPoolExecutor(6) as pool:
             for number in range(6):
                 pool.submit(caller, number)
@@ -238,18 +248,18 @@
                 for entry in self.fleet.entries:
                     self.fleet.kill(entry.name, 15)
                     time.sleep(0.5)
-                    balanced.discard(entry.callers_port)
+                    balanced_ports.discard(entry.callers_port)
                     self.assertEqual(self.fleet.wait_for_exit(entry.name), 0)
                     self.fleet.start_entry(entry)
                     self.wait_until(
                         lambda entry=entry: self.fleet.is_ready(entry), "ready again"
                     )
-                    balanced.add(entry.callers_port)
+                    balanced_ports.add(entry.callers_port)
             finally:
                 stop.append(True)
         self.assertEqual(set(results), {200})
 
-    def test_stopping_entry_finishes_its_payouts(self):
+    def test_a_stopping_entry_completes_its_submissions(self):
         entry = self.fleet.entries[0]
         with ThreadPoolExecutor(4) as pool:
             sent = [
@@ -257,7 +267,7 @@
                 for headers in ({**KEY, "Idempotency-Key": f"k{n}"} for n in range(4))
             ]
             self.wait_until(
-                lambda: any(self.runs_of(f"k{n}") for n in range(4)), "one running"
+                lambda: any(self.count_runs(f"k{n}") for n in range(4)), "one running"
             )
             self.fleet.kill(entry.name, 15)
             self.assertEqual({answer.result()[0] for answer in sent}, {200})
--- a/tools/guards.py
+++ b/tools/guards.py
@@ -1,9 +1,10 @@
-"""Take guards out, one at a time, and show that a test turns red without each.
+"""Mutation test: remove safety checks one at a time and expect a test to fail.
 
-    python tools/guards.py            all of them
-    python tools/guards.py WORD…      those whose name holds a word
+    python tools/guards.py            all guards
+    python tools/guards.py WORD…      guards whose names contain one of the words
 
-Works on a scratch copy. CI does not run it: it shows that the tests can fail.
+Changes only temporary copies of the tree. CI does not run it: it checks the tests, not
+the product.
 """
 
 import os
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Guard:
-    """A guard, the edit that takes it out, and the tests that must then fail."""
+    """A safety check, the edit that removes it, and the tests that must then fail."""
 
     name: str
     path: str
@@ -41,14 +42,14 @@
 
 GUARDS = [
     Guard(
-        "a new identity drops messages for the old one",
+        "a replica drops messages for its previous identity",
         CORE,
         "        if message.target != self.replica_id:\n            return\n",
         "",
         CORE_TESTS,
     ),
     Guard(
-        "only a log that is as new gets a vote",
+        "a vote requires a log that is at least as up to date",
         ELECTIONS,
         "        if (request.last_term, request.last_index) < own_end:\n"
         "            return False\n",
@@ -56,7 +57,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "one vote a term",
+        "a replica votes once per term",
         ELECTIONS,
         "state.hard_state.voted_for in (\n            NO_REPLICA,\n"
         "            request.sender,\n        )",
@@ -64,14 +65,14 @@
         CORE_TESTS,
     ),
     Guard(
-        "a replica that hears a leader neither votes nor takes the term",
+        "a replica with a live leader neither votes nor adopts the term",
         ELECTIONS,
         "if self._hears_leader() and not request.is_transfer:",
         "if False:",
         CORE_TESTS,
     ),
     Guard(
-        "a leader that hears no quorum steps down",
+        "a leader without contact to a quorum steps down",
         CORE,
         "        if not self._leader_log.hears_quorum():\n"
         "            self._become_follower(self.term)\n            return\n",
@@ -79,7 +80,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "a read waits for a quorum",
+        "a read waits for confirmation by a quorum",
         "replication/_reads.py",
         "        confirmed = quorum_value(self._state.membership.voters, "
         "self._round_of)\n",
@@ -87,7 +88,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "a learner is caught up only once it has its own membership",
+        "a learner is caught up only once its log holds its own membership",
         MEMBER_CHANGES,
         "            progress.match_index >= progress.joined_at_index\n"
         "            and progress.match_index",
@@ -95,7 +96,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "the old identity leaves before the new one may vote",
+        "the old identity is removed before the new one becomes a voter",
         "replication/_progress.py",
         "        if replaced is not None:\n"
         "            return membership.without(replaced)\n",
@@ -107,7 +108,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "one membership change at a time",
+        "only one membership change is in progress",
         MEMBER_CHANGES,
         "            state.log.membership_index <= state.commit_index\n"
         "            and ",
@@ -115,7 +116,7 @@
         CORE_TESTS,
     ),
     Guard(
-        "only a torn tail is cut",
+        "the write-ahead log is truncated only at a torn tail",
         "replication/_records.py",
         "    if _record_follows(content, position + 1) or not "
         "_looks_cut(content, position):",
@@ -123,7 +124,7 @@
         "tests.replication.test_storage",
     ),
     Guard(
-        "a kept identity with a lost log is refused",
+        "an identity without its write-ahead log is refused",
         "replication/_storage.py",
         '            raise self._damaged("its write-ahead log is missing")\n',
         "            self._start_wal(0, HardState(), [])\n"
@@ -131,14 +132,14 @@
         "tests.replication.test_storage",
     ),
     Guard(
-        "a folder of another replica is refused",
+        "a data folder of another replica is refused",
         "replication/_storage.py",
         "if (identity.group, identity.address) != (group, address):",
         "if False:",
         "tests.replication.test_storage",
     ),
     Guard(
-        "a used edit id gets its old answer",
+        "a repeated edit id gets its stored answer",
         "table/_machine.py",
         "        if remembered is not None:\n"
         "            if remembered.content_digest == content_digest:\n"
@@ -147,7 +148,7 @@
         "tests.table.test_machine",
     ),
     Guard(
-        "an edit names the revision that it saw",
+        "an edit based on an outdated revision is refused",
         "table/_machine.py",
         "        if current != change.seen_revision:\n            raise _Refusal(\n"
         "                refused(\n                    ErrorCode.REVISION_CONFLICT,\n"
@@ -158,21 +159,21 @@
         "tests.table.test_machine",
     ),
     Guard(
-        "an edit older than the window is refused",
+        "an edit older than the deduplication window is refused",
         "table/_machine.py",
         "        if edit.seen_sequence < self._forgotten_sequence:",
         "        if False:",
         "tests.table.test_machine",
     ),
     Guard(
-        "an edit that breaks a rule is refused",
+        "an edit that violates a table rule is refused",
         "table/_machine.py",
         "            check_rules(self.table, touched)\n",
         "",
         "tests.table.test_machine",
     ),
     Guard(
-        "a table never goes back",
+        "a table never returns to an older revision",
         "table/_table.py",
         "        if delta.revision <= self.revision or "
         "delta.base_revision > self.revision:",
@@ -180,7 +181,7 @@
         "tests.table.test_machine",
     ),
     Guard(
-        "a second attempt is not granted while the first may run",
+        "no second attempt is granted while the first may be running",
         "ledger/_machine.py",
         "        if ruling is not None:\n            return ruling\n",
         "",
@@ -209,42 +210,42 @@
         "tests.ledger.test_machine",
     ),
     Guard(
-        "the floor holds ejections back",
+        "the floor limits ejections",
         "judgement/_floor.py",
         "        if healthy_slots >= floor_slots:\n            break\n",
         "        break\n",
         "tests.judgement.test_floor tests.judgement.test_merge",
     ),
     Guard(
-        "an ejection is a lease",
+        "an ejection expires with its lease",
         "judgement/_merge.py",
         "            is_valid = now_ms < held.report_sent_at_ms + verdict.lease_ms",
         "            is_valid = True",
         "tests.judgement.test_merge",
     ),
     Guard(
-        "one assessor alone ejects nobody",
+        "a single assessor cannot eject a server",
         "judgement/_merge.py",
         "    is_ejected = votes >= quorum",
         "    is_ejected = votes >= 1",
         "tests.judgement.test_merge",
     ),
     Guard(
-        "one entry alone condemns no server",
+        "a single entry cannot condemn a server",
         "judgement/_sequential.py",
         "REPORTER_CAP_SHARE = 0.6",
         "REPORTER_CAP_SHARE = 100.0",
         "tests.judgement.test_judge",
     ),
     Guard(
-        "peers are compared with",
+        "a server is ejected only if its peers are healthy",
         "judgement/_judge.py",
         "            if scope is not None and self._has_healthy_peers(",
         "            if scope is not None or self._has_healthy_peers(",
         "tests.judgement.test_judge",
     ),
     Guard(
-        "a hall that sees the server well is not ejected for",
+        "a server is not ejected for halls that see it healthy",
         "judgement/_judge.py",
         "        if not has_contradiction(others, tallies[failing]):\n"
         "            return frozenset()\n",
@@ -252,7 +253,7 @@
         "tests.judgement.test_judge",
     ),
     Guard(
-        "late reports are dropped",
+        "expired reports are dropped",
         "judgement/_assessor.py",
         "        return sent_at_ms is not None and "
         "now_ms - sent_at_ms <= REPORT_VALID_MS",
@@ -260,105 +261,105 @@
         "tests.judgement.test_assessor",
     ),
     Guard(
-        "retries are bounded",
+        "retries need a token of the retry budget",
         "limits/_retry_budget.py",
         "        if self._tokens < 1:\n            return False\n",
         "",
         "tests.limits.test_limits",
     ),
     Guard(
-        "a restarted entry does not go back",
+        "a restarted entry does not return to an older revision",
         "entry/fleet/_trust.py",
         "revision < evidence.own_revision",
         "False",
         "tests.entry.fleet.test_trust",
     ),
     Guard(
-        "a resumed download is the same version",
+        "a download is resumed only with the same ETag",
         "entry/callers/_relay.py",
         "            and etag == self.etag\n",
         "",
         "tests.entry.callers.test_relay",
     ),
     Guard(
-        "no proof, no service",
+        "a connection without a valid proof is refused",
         "wire/_connection.py",
         "        if not hmac.compare_digest(expected, answer.proof):",
         "        if False:",
         "tests.wire.test_wire",
     ),
     Guard(
-        "a server that asked for rest is not chosen",
+        "a server that is backing off is not chosen",
         "entry/servers/_holds.py",
         "    return server.takes_work(now_ms) and server.pushback.can_accept(now_ms)\n",
         "    return server.takes_work(now_ms)\n",
         PUSHBACK_TESTS,
     ),
     Guard(
-        "what a server asked for is looked at again before bytes are written",
+        "a server's pushback is checked again before the request is written",
         "entry/servers/_dispatch.py",
         "    return error or refusal or check_rate_limit",
         "    return refusal or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
-        "what may no longer be sent is looked at again before bytes are written",
+        "a request's permit is checked again before it is written",
         "entry/servers/_dispatch.py",
         "    return error or refusal or check_rate_limit",
         "    return error or check_rate_limit",
         PUSHBACK_TESTS,
     ),
     Guard(
-        "what a server asked for outlives its listing",
+        "pushback is kept when a server is listed again",
         "pushback/_book.py",
         "        return self._servers.get(server) or ServerPushback()\n",
         "        return ServerPushback()\n",
         PUSHBACK_TESTS,
     ),
     Guard(
-        "a server's limit is looked at again before bytes are written",
+        "a server's rate limit is checked again before the request is written",
         "entry/servers/_dispatch.py",
         " or check_rate_limit(outgoing.server, outgoing.token, now_ms)\n",
         "\n",
         LIMIT_TESTS,
     ),
     Guard(
-        "a server is chosen only where a turn is due",
+        "a rate-limited server is chosen only with a token available",
         "pushback/_book.py",
         "        return now_ms >= self.accepts_at_ms(now_ms)\n",
         "        return now_ms >= self.backoff_until_ms\n",
         LIMIT_TESTS,
     ),
     Guard(
-        "whoever gets a part of a rate begins without a turn",
+        "an entry starts its rate share without a token",
         "pushback/_turns.py",
         "        if not self.share_per_s:\n            self._last_ms = now_ms\n",
         "",
         TURN_TESTS,
     ),
     Guard(
-        "an entry that knows of no group sends nothing to a limited server",
+        "an entry without a group sends nothing to a rate-limited server",
         "pushback/_rate_shares.py",
         "        return 0.0\n    holders",
         "        return rate_per_s\n    holders",
         SHARE_TESTS,
     ),
     Guard(
-        "an older word brings no limit back",
+        "an older report does not restore a rate limit",
         "pushback/_limits.py",
         "limit.heard_at_ms < known.heard_at_ms",
         "False",
         LIMIT_TESTS,
     ),
     Guard(
-        "only an entry among the first of a server's order has a part",
+        "only the first entries in a server's hashing order have a share",
         "pushback/_rate_shares.py",
         "    if entry not in chosen:\n        return 0.0\n",
         "",
         SHARE_TESTS,
     ),
     Guard(
-        "idle servers that were not drawn are looked at before a request is refused",
+        "idle servers not sampled are considered before a request is refused",
         "entry/servers/_slots.py",
         "service, build_candidates(free, now_ms), wanted, now_ms",
         "service, candidates, wanted, now_ms",
@@ -368,20 +369,20 @@
 
 
 def main() -> int:
-    """Run the chosen guards; the exit code tells whether every test turned red."""
+    """Test the chosen guards; exit with 0 if a test fails without each of them."""
     words = sys.argv[1:]
     chosen = [g for g in GUARDS if not words or any(w in g.name for w in words)]
-    if not all_green({guard.tests for guard in chosen}):
+    if not all_pass({guard.tests for guard in chosen}):
         return 1
-    survived = [guard for guard in chosen if not turns_red(guard)]
+    survived = [guard for guard in chosen if not is_noticed(guard)]
     for guard in survived:
-        print(f"NOT NOTICED: {guard.name}")
-    print(f"{len(chosen) - len(survived)} of {len(chosen)} guards are noticed")
+        print(f"NOT DETECTED: {guard.name}")
+    print(f"{len(chosen) - len(survived)} of {len(chosen)} removed guards are detected")
     return 1 if survived else 0
 
 
-def all_green(tests: set[str]) -> bool:
-    """Whether the tests pass as things are; otherwise a red proves nothing."""
+def all_pass(tests: set[str]) -> bool:
+    """Whether the tests pass with all guards; otherwise a failure proves nothing."""
     for names in sorted(tests):
         closing_line = run_tests(ROOT, names)
         print(f"with all guards, {names}: {closing_line}", flush=True)
@@ -390,8 +391,8 @@
     return True
 
 
-def turns_red(guard: Guard) -> bool:
-    """Whether the tests fail without the guard."""
+def is_noticed(guard: Guard) -> bool:
+    """Whether the tests fail when the guard is removed."""
     with tempfile.TemporaryDirectory(prefix="cinderway-guards-") as name:
         scratch = Path(name)
         for folder in ("src", "tests", "standins", "tools"):
@@ -400,7 +401,9 @@
         path = scratch / SOURCE / guard.path
         text = path.read_text()
         if text.count(guard.old) != 1:
-            raise SystemExit(f"{guard.name}: its text is not there once")
+            raise SystemExit(
+                f"{guard.name}: the text to replace must occur once in {guard.path}"
+            )
         path.write_text(text.replace(guard.old, guard.new))
         closing_line = run_tests(scratch, guard.tests)
     is_red = not closing_line.endswith(" 0 failed")
@@ -409,7 +412,7 @@
 
 
 def run_tests(scratch: Path, tests: str) -> str:
-    """Return the closing line; a run that does not end counts as failed."""
+    """Return the last line of output; a run that times out counts as failed."""
     try:
         result = subprocess.run(
             [sys.executable, "tools/run_tests.py", *tests.split()],
@@ -420,7 +423,7 @@
             timeout=TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
-        return f"no end within {TIMEOUT_S} s"
+        return f"timed out after {TIMEOUT_S} s"
     lines = result.stdout.splitlines() or ["no output"]
     return lines[-1]
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,11 +1,11 @@
-"""Run the tests side by side with nose2 and print the closing line that CI reads.
+"""Run the tests in parallel with nose2 and print the closing line that CI reads.
 
     python tools/run_tests.py               on half of the cores
-    python tools/run_tests.py --jobs 1      one after the other
+    python tools/run_tests.py --jobs 1      sequentially
 
-Each part runs in a process of its own. A test that no part has run counts as failed. A
-failing test that KNOWN-RED.txt lists is printed and passed over; a listed test that
-passes is printed too, so that the list stays true.
+The tests are divided into parts, each run in a separate process. A test that no part
+has run counts as failed. A failing test listed in KNOWN-RED.txt is printed but does not
+fail the run; a listed test that passes is printed too, so that its entry is removed.
 """
 
 import argparse
@@ -26,20 +26,20 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 KNOWN_RED_LIMIT = 3
-# Their tests take most of the time: each class is a part, and they begin first.
+# These tests take most of the time: each class is a part of its own, started first.
 SLOW_FOLDERS = ("system", "experiment")
 SLOWEST_PRINTED = 20
 
 
 class Outcomes(msgspec.Struct):
-    """What became of some tests; seconds by the id of each."""
+    """Ids of passed and failed tests, and durations in seconds by test id."""
 
     passed_ids: set[str] = set()
     failed_ids: set[str] = set()
     seconds: dict[str, float] = {}
 
     def add(self, other: "Outcomes") -> None:
-        """Take over another part's."""
+        """Merge the outcomes of another part."""
         self.passed_ids |= other.passed_ids
         self.failed_ids |= other.failed_ids
         self.seconds |= other.seconds
@@ -53,16 +53,16 @@
     _started_s: dict[str, float] = field(default_factory=dict)
 
     def startTest(self, event) -> None:  # noqa: N802 - the hook's name
-        """Note when a test begins."""
+        """Record when a test starts."""
         self._started_s[event.test.id()] = time.monotonic()
 
     def testOutcome(self, event) -> None:  # noqa: N802 - the hook's name
-        """Take one test's outcome."""
+        """Record a test's outcome and duration."""
         test_id = event.test.id()
         if event.outcome in ("failed", "error") or (
             event.outcome == "subtest" and event.exc_info
         ):
-            # A subtest's id begins with its test's.
+            # A subtest's id is its test's id followed by a space and parameters.
             self.outcomes.failed_ids.add(test_id.split(" ")[0])
         elif event.outcome == "passed":
             self.outcomes.passed_ids.add(test_id)
@@ -71,8 +71,8 @@
             self.outcomes.seconds[test_id] = time.monotonic() - began_s
 
 
-def known_red_tests() -> dict[str, str]:
-    """Return the listed test ids, each with its whole line."""
+def read_known_failures() -> dict[str, str]:
+    """Return the lines of KNOWN-RED.txt by test id."""
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
     listed = {line.split()[0].rstrip(":,"): line for line in lines if line}
     if len(listed) > KNOWN_RED_LIMIT:
@@ -82,22 +82,22 @@
     return listed
 
 
-def all_test_ids() -> set[str]:
+def find_test_ids() -> set[str]:
     """Return the id of every test below tests/."""
     suite = unittest.defaultTestLoader.discover("tests", top_level_dir=".")
-    return {test.id() for test in _tests_in(suite)}
+    return {test.id() for test in _iterate_tests(suite)}
 
 
-def _tests_in(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
+def _iterate_tests(suite: unittest.TestSuite) -> Iterator[unittest.TestCase]:
     for item in suite:
         if isinstance(item, unittest.TestSuite):
-            yield from _tests_in(item)
+            yield from _iterate_tests(item)
         else:
             yield item
 
 
-def parts_of(test_ids: set[str]) -> list[str]:
-    """Return the names of the parts that hold these tests, the slow ones first."""
+def build_parts(test_ids: set[str]) -> list[str]:
+    """Return the nose2 names of the parts with these tests, slow parts first."""
     slow, others = set(), set()
     for test_id in test_ids:
         words = test_id.split(".")
@@ -108,8 +108,8 @@
     return sorted(slow, reverse=True) + sorted(others)
 
 
-def run_here(names: list[str], outcomes_file: Path) -> int:
-    """Run the named tests in this process, and write what became of them."""
+def run_in_this_process(names: list[str], outcomes_file: Path) -> int:
+    """Run the named tests in this process and write their outcomes to a file."""
     recorder = Recorder()
     nose2.discover(
         exit=False,
@@ -121,10 +121,10 @@
 
 
 def run_part(name: str, folder: Path) -> Outcomes:
-    """Run one part in a process of its own; print what it says if a test failed."""
+    """Run one part in a separate process; print its output if a test failed."""
     file = folder / f"{name}.json"
     began_s = time.monotonic()
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, __file__, "--outcomes", str(file), name],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
@@ -132,40 +132,45 @@
         check=False,
     )
     if not file.exists():
-        print(f"{name} ended with code {done.returncode}\n{done.stdout}", flush=True)
+        print(
+            f"{name} ended with code {completed.returncode}\n{completed.stdout}",
+            flush=True,
+        )
         return Outcomes()
-    found = msgspec.json.decode(file.read_bytes(), type=Outcomes)
+    part_outcomes = msgspec.json.decode(file.read_bytes(), type=Outcomes)
     print(
-        f"{name}: {len(found.passed_ids - found.failed_ids)} passed, "
-        f"{len(found.failed_ids)} failed, {time.monotonic() - began_s:.0f} s",
+        f"{name}: {len(part_outcomes.passed_ids - part_outcomes.failed_ids)} passed, "
+        f"{len(part_outcomes.failed_ids)} failed, {time.monotonic() - began_s:.0f} s",
         flush=True,
     )
-    if found.failed_ids:
-        print(done.stdout, flush=True)
-    return found
+    if part_outcomes.failed_ids:
+        print(completed.stdout, flush=True)
+    return part_outcomes
 
 
-def run_side_by_side(test_ids: set[str], jobs: int) -> Outcomes:
-    """Run all tests, so many parts at a time."""
+def run_in_parallel(test_ids: set[str], jobs: int) -> Outcomes:
+    """Run all tests with up to `jobs` parts at a time."""
     outcomes = Outcomes(set(), set(), {})
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(jobs) as pool:
-        for found in pool.map(
-            lambda name: run_part(name, Path(folder)), parts_of(test_ids)
+        for part_outcomes in pool.map(
+            lambda name: run_part(name, Path(folder)), build_parts(test_ids)
         ):
-            outcomes.add(found)
+            outcomes.add(part_outcomes)
     return outcomes
 
 
 def print_slowest(outcomes: Outcomes) -> None:
-    """Print the tests that take longest."""
+    """Print the slowest tests."""
     slowest = sorted(outcomes.seconds.items(), key=lambda item: -item[1])
     for test_id, seconds in slowest[:SLOWEST_PRINTED]:
         print(f"{seconds:6.1f} s  {test_id}")
 
 
-def conclude(outcomes: Outcomes, test_ids: set[str], summary: Path | None) -> int:
-    """Print what came of all tests and the closing line; return the exit code."""
-    listed = known_red_tests()
+def report_outcomes(
+    outcomes: Outcomes, test_ids: set[str], summary: Path | None
+) -> int:
+    """Print the failed tests and the closing line; return the exit code."""
+    listed = read_known_failures()
     not_run = test_ids - outcomes.passed_ids - outcomes.failed_ids
     for test_id in sorted(not_run):
         print(f"not run: {test_id}")
@@ -175,7 +180,7 @@
     for test_id in sorted(unexpected - not_run):
         print(f"failed: {test_id}")
     for test_id in sorted(failed_ids & listed.keys()):
-        print(f"known red, passed over: {listed[test_id]}")
+        print(f"known failure (KNOWN-RED.txt), ignored: {listed[test_id]}")
     for test_id in sorted(listed.keys() - failed_ids):
         print(f"listed in KNOWN-RED.txt but not failing: {test_id}")
     closing_line = f"{len(passed_ids)} passed, {len(unexpected)} failed"
@@ -188,19 +193,25 @@
 def main() -> int:
     """Run every test below tests/ and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--summary", type=Path, help="also write the closing line here")
+    parser.add_argument(
+        "--summary", type=Path, help="also write the closing line to this file"
+    )
     parser.add_argument("--jobs", type=int, default=max((os.cpu_count() or 2) // 2, 1))
-    parser.add_argument("--outcomes", type=Path, help="run the names given here")
+    parser.add_argument(
+        "--outcomes",
+        type=Path,
+        help="run the named tests in this process; write outcomes to this file",
+    )
     options, names = parser.parse_known_args()
     os.chdir(ROOT)
     sys.path.insert(0, str(ROOT))
     if options.outcomes:
-        return run_here(names, options.outcomes)
-    known_red_tests()
-    test_ids = all_test_ids()
-    outcomes = run_side_by_side(test_ids, options.jobs)
+        return run_in_this_process(names, options.outcomes)
+    read_known_failures()
+    test_ids = find_test_ids()
+    outcomes = run_in_parallel(test_ids, options.jobs)
     print_slowest(outcomes)
-    return conclude(outcomes, test_ids, options.summary)
+    return report_outcomes(outcomes, test_ids, options.summary)
 
 
 if __name__ == "__main__":
--- a/tools/write_columns_page.py
+++ b/tools/write_columns_page.py
@@ -1,4 +1,4 @@
-"""Write docs/operators/columns.md from the columns' declarations."""
+"""Generate docs/operators/columns.md from the column declarations."""
 
 from pathlib import Path
 
@@ -13,16 +13,16 @@
 
 
 def page() -> str:
-    """Return the page's text."""
+    """Return the page's Markdown text."""
     lines = [HEADER]
     for sheet in Sheet:
         lines += [f"## {sheet.value}", "", "| column | allowed | default | meaning |"]
         lines.append("|---|---|---|---|")
-        for name, declared in COLUMNS[sheet].items():
-            default = format_cell(declared.default)
-            shown = "required" if declared.is_required else default or "empty"
-            allowed = allowed_values(declared.kind).replace("|", "or")
-            lines.append(f"| `{name}` | {allowed} | {shown} | {declared.help} |")
+        for name, column in COLUMNS[sheet].items():
+            default = format_cell(column.default)
+            default_text = "required" if column.is_required else default or "empty"
+            allowed = allowed_values(column.kind).replace("|", "or")
+            lines.append(f"| `{name}` | {allowed} | {default_text} | {column.help} |")
         lines.append("")
     return "\n".join(lines)
 
