--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on real processes. `python -m bench` lists them; none gates CI."""
+"""Benchmarks of processes and simulations; CI does not depend on their results."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench NAME …`: run one measurement, or all of them briefly."""
+"""`python -m bench NAME …`: run one benchmark; without a name, a short run of some."""
 
 import importlib
 import sys
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Run the measurement that the command line names; without one, all."""
+    """Run the benchmark named on the command line, or else all of `NAMES`."""
     if len(sys.argv) > 1:
         module = importlib.import_module(f"bench.{sys.argv[1]}")
         module.main(sys.argv[2:])
--- a/bench/_counted.py
+++ b/bench/_counted.py
@@ -1,8 +1,10 @@
-"""Run one daemon and count what wakes it: `python -m bench._counted FOLDER ROLE …`.
+"""Run one daemon and count its timers and messages.
 
-The daemon runs on the standard library's event loop in place of uvloop, which cannot be
-looked into. At SIGUSR1 it writes a file in FOLDER: the timers that ran out by the
-function that set them, and the messages sent by kind.
+    python -m bench._counted FOLDER ROLE …
+
+The daemon runs on the standard library's event loop because uvloop cannot be
+instrumented. On SIGUSR1 it writes a file to FOLDER: expired timers by the function that
+set them, and sent messages by type.
 """
 
 import asyncio
@@ -24,7 +26,7 @@
 
 
 class Counts(msgspec.Struct):
-    """What one process did since its start."""
+    """Counters of one process since its start."""
 
     timers: dict[str, int] = {}
     messages: dict[str, int] = {}
@@ -37,10 +39,10 @@
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """An event loop that counts the timers that run out, by who set them."""
+    """An event loop that counts expired timers by the function that set them."""
 
     def call_at(self, when, callback, *args, context=None):
-        """Set a timer that is counted when it runs out."""
+        """Set a timer that is counted when it expires."""
         name = _caller_name()
 
         def count_and_call():
@@ -51,7 +53,7 @@
 
 
 def _caller_name() -> str:
-    """Return the innermost function of ours that is under way."""
+    """Return the name of the product's innermost function on the stack."""
     frame = sys._getframe()
     while frame is not None:
         if PACKAGE in frame.f_code.co_filename:
@@ -74,7 +76,7 @@
 
 
 def main() -> None:
-    """Run the daemon that the command line names."""
+    """Run the daemon named on the command line."""
     folder, role, *arguments = sys.argv[1:]
     options = dict(zip(arguments[::2], arguments[1::2], strict=True))
     variable = environment_variable_of("settings_file")
--- a/bench/account_sheets.py
+++ b/bench/account_sheets.py
@@ -1,4 +1,4 @@
-"""What a sheet with many client accounts costs: bytes packed, time to read and index.
+"""Cost of sheets with many client accounts: packed size, time to decode and index.
 
 python -m bench account_sheets [--routes 300]
 """
@@ -9,13 +9,13 @@
 import string
 import time
 
-from bench.figures import ms, table
+from bench.figures import format_table, ms
 from cinderway.catalog import AccountIndex, decode_sheet
 from cinderway.catalog._packing import pack, unpack
 
-COUNTS = (80, 1_000, 43_000)
-KEYS_AN_ACCOUNT = 2
-KEY_SIGNS = 20
+ACCOUNT_COUNTS = (80, 1_000, 43_000)
+KEYS_PER_ACCOUNT = 2
+KEY_LENGTH = 20
 LETTERS = string.ascii_lowercase + string.digits
 
 
@@ -24,13 +24,13 @@
     parser = argparse.ArgumentParser(prog="python -m bench account_sheets")
     parser.add_argument("--routes", type=int, default=300)
     options = parser.parse_args(arguments)
-    rows = [_measure(count, options.routes) for count in COUNTS]
+    rows = [_measure(count, options.routes) for count in ACCOUNT_COUNTS]
     header = ["accounts", "bytes", "packed", "pack ms", "unpack, read ms", "index ms"]
-    print(table(header, rows))
+    print(format_table(header, rows))
 
 
 def _measure(count: int, routes: int) -> list[str]:
-    body = _sheet(count, routes)
+    body = _build_sheet(count, routes)
     packed, pack_ms = _timed(lambda: pack(body))
     sheet, read_ms = _timed(lambda: decode_sheet(unpack(packed)))
     _, index_ms = _timed(lambda: AccountIndex(sheet.accounts))
@@ -44,16 +44,16 @@
     return result, (time.perf_counter() - started_s) * 1000
 
 
-def _sheet(accounts: int, routes: int) -> bytes:
+def _build_sheet(accounts: int, routes: int) -> bytes:
     rng = random.Random(1)
 
-    def word(length: int) -> str:
+    def random_text(length: int) -> str:
         return "".join(rng.choices(LETTERS, k=length))
 
     rows = [
         {
-            "name": word(7),
-            "keys": [word(KEY_SIGNS) for _ in range(KEYS_AN_ACCOUNT)],
+            "name": random_text(7),
+            "keys": [random_text(KEY_LENGTH) for _ in range(KEYS_PER_ACCOUNT)],
             "priority": 1,
             "rate_per_s": rng.randrange(2, 90),
             "burst": rng.randrange(2, 90),
@@ -62,9 +62,9 @@
     ]
     route_rows = [
         {
-            "name": word(9),
-            "host": f"{word(6)}.example",
-            "path_prefix": f"/{word(7)}/",
+            "name": random_text(9),
+            "host": f"{random_text(6)}.example",
+            "path_prefix": f"/{random_text(7)}/",
             "timeout_ms": 3000,
             "service": "lookup",
         }
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,10 +1,10 @@
-"""Entries that judge by themselves: what pooled judgement is measured against.
+"""Baselines for pooled judgement: entries that eject servers independently.
 
-    health    ejects after three failed health probes, one a second
-    local     ejects after five failures in a row of its own requests, for 10 s,
-              half of the servers at most
+    health    ejects after three consecutive failed health probes, one per second
+    local     ejects for 10 s after five consecutive failures of its own requests, at
+              most half of the servers
 
-Everything else in them is the product's.
+The rest of the entry is the product's own code.
 """
 
 import logging
@@ -25,21 +25,21 @@
 
 logger = logging.getLogger(__name__)
 
-PAUSE_S = 0.05
-HEALTH_PAUSE_S = 1.0
+JUDGE_INTERVAL_S = 0.05
+PROBE_INTERVAL_S = 1.0
 HEALTH_FAILURES = 3
 LOCAL_FAILURES = 5
-LOCAL_BAN_MS = 10_000
+LOCAL_EJECTION_MS = 10_000
 
 
 class OwnFailuresOnly(EvidenceLog):
-    """Without censored evidence: a request counts once it has failed."""
+    """An evidence log that counts a request only once it has failed, not while late."""
 
     def sweep(self, now_ms):
-        """Count nothing early."""
+        """Do not count running requests."""
 
     def late_after_ms(self, service):
-        """Call nothing late."""
+        """Never treat a request as late."""
         return float("inf")
 
 
@@ -54,28 +54,30 @@
     ejections: int = 0
     held_by_floor: int = 0
     failures: dict = field(default_factory=dict)
-    until_ms: dict = field(default_factory=dict)
+    ejected_until_ms: dict = field(default_factory=dict)
 
-    def set_ejected(self, service: ServiceState, server: ServerState, is_out: bool):
-        """Eject or take back, and say so as the product does."""
-        if server.is_ejected == is_out:
+    def set_ejected(
+        self, service: ServiceState, server: ServerState, should_eject: bool
+    ):
+        """Eject or reinstate a server, with the product's log line."""
+        if server.is_ejected == should_eject:
             return
-        if is_out:
-            out = sum(s.is_ejected for s in service.servers.values())
-            if (out + 1) * 2 > len(service.servers):
+        if should_eject:
+            ejected_count = sum(s.is_ejected for s in service.servers.values())
+            if (ejected_count + 1) * 2 > len(service.servers):
                 return
             logger.info("ejected %s/%s: own", service.row.name, server.row.name)
-        server.is_ejected = is_out
+        server.is_ejected = should_eject
         service.free_slot()
 
 
 class LocalReporter(_Base):
-    """Local outlier ejection."""
+    """Ejects servers by the entry's own failures only."""
 
     async def run(self):
-        """Judge until cancelled."""
+        """Evaluate the evidence periodically until cancelled."""
         while True:
-            await anyio.sleep(PAUSE_S)
+            await anyio.sleep(JUDGE_INTERVAL_S)
             for (service, server), counts in self.evidence.take().items():
                 key = (service, server)
                 if counts.good:
@@ -89,19 +91,19 @@
                 key = (name, server_name)
                 if self.failures.get(key, 0) >= LOCAL_FAILURES:
                     self.failures[key] = 0
-                    self.until_ms[key] = now_ms + LOCAL_BAN_MS
-                is_out = now_ms < self.until_ms.get(key, 0)
-                self.set_ejected(service, server, is_out)
+                    self.ejected_until_ms[key] = now_ms + LOCAL_EJECTION_MS
+                should_eject = now_ms < self.ejected_until_ms.get(key, 0)
+                self.set_ejected(service, server, should_eject)
 
 
 class HealthReporter(_Base):
-    """Health probes only."""
+    """Ejects servers by health probes only."""
 
     async def run(self):
-        """Probe until cancelled."""
+        """Probe all servers periodically until cancelled."""
         connections = BackendConnections()
         while True:
-            await anyio.sleep(HEALTH_PAUSE_S)
+            await anyio.sleep(PROBE_INTERVAL_S)
             self.evidence.take()
             for service in list(self.board.services.values()):
                 for server in service.servers.values():
@@ -115,11 +117,11 @@
             answer = await connections.send(
                 key, request, "probe", deadline_ms, fresh=True
             )
-            is_well = answer.status == 200
+            is_healthy = answer.status == 200
             await answer.aclose()
         except CinderwayError:
-            is_well = False
-        self.failures[key] = 0 if is_well else self.failures.get(key, 0) + 1
+            is_healthy = False
+        self.failures[key] = 0 if is_healthy else self.failures.get(key, 0) + 1
         self.set_ejected(service, server, self.failures[key] >= HEALTH_FAILURES)
 
 
@@ -127,7 +129,7 @@
 
 
 def main() -> None:
-    """Run an entry with a baseline's judgement: POLICY, then the entry's flags."""
+    """Run an entry with a baseline policy; arguments: POLICY and the entry's flags."""
     policy = POLICIES[sys.argv.pop(1)]
     _daemon.Reporter = policy
     _daemon.EvidenceLog = OwnFailuresOnly
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,9 +1,10 @@
-"""What control costs an entry: CPU, memory and bytes, and how they grow.
+"""CPU, memory and traffic of control per entry, for several fleet and table sizes.
 
     python -m bench control_cost [--entries 12,24,36] [--rows 30,1000,4000]
 
-At rest: no callers' requests; judgement, probes of nothing, table and membership run.
-Bytes are those of our own frames, both ways, without TCP's headers.
+Measured without callers' requests: judgement, probing without servers to probe, table
+and membership are running. Bytes are those of the product's frames in both directions,
+without TCP headers.
 """
 
 import argparse
@@ -11,7 +12,7 @@
 import time
 from pathlib import Path
 
-from bench.figures import table
+from bench.figures import format_table
 from standins.fleet import Fleet, ServerSpec, ServiceSpec
 
 HALLS = ["suva", "lautoka", "nadi"]
@@ -35,7 +36,7 @@
 
 
 def measure(entries: int, rows: int, services: int) -> list:
-    """Measure one size; return a row."""
+    """Measure one fleet and table size; return a row of the printed table."""
     specs = [ServiceSpec(f"s{n}", {"routes": f"/s{n}"}) for n in range(services)]
     servers = [
         ServerSpec(f"b{n}", f"s{n % services}", HALLS[n % 3]) for n in range(rows)
@@ -73,7 +74,7 @@
 
 
 def wire_bytes(fleet: Fleet, entry) -> float:
-    """Return the bytes of all frames of an entry, both ways."""
+    """Return the bytes of all frames that an entry sent and received."""
     metrics = fleet.metrics(entry)
     return (
         metrics["cinderway_wire_sent_bytes"] + metrics["cinderway_wire_received_bytes"]
@@ -81,7 +82,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print a row a size."""
+    """Print one row per size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", default="12,24,36")
     parser.add_argument("--rows", default="30,1000,4000")
@@ -93,4 +94,4 @@
     header = ["entries", "services", "server rows", "entry CPU median", "entry CPU max"]
     header += ["entry kB/s median", "entry kB/s max", "entry MiB max"]
     header += ["control CPU", "control MiB"]
-    print(table(header, rows))
+    print(format_table(header, rows))
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,10 +1,10 @@
-"""Detection time and false ejections with 36 real entries, fault by fault.
+"""Detection time and wrong ejections by fault, with 36 entry processes.
 
     python -m bench decisions [--policy pooled|local|health] [--faults a,b] [--trials N]
 
-Detection time: from the fault's begin until the last entry has ejected the server, by
-the entries' own log lines. A trial that some entry has not ended by the time limit
-counts with the limit. Wrong ejections: servers ejected, by any entry, without a fault.
+Detection time: from the start of the fault until the last entry has ejected the server,
+according to the entries' logs. If an entry has not ejected it by the time limit, the
+limit is counted. Wrong ejections: servers without a fault ejected by any entry.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from bench.figures import ms, percentiles_ms, table
+from bench.figures import format_table, ms, percentiles_ms
 from standins.fleet import CINDERWAY, Fleet, ServerSpec, ServiceSpec
 from standins.load import Load, Stream
 
@@ -25,8 +25,8 @@
 ENTRIES = 36
 WARM_UP_S = 8.0
 SETTLE_S = 3.0
-LIMIT_S = 5.0
-RECOVER_S = 6.0
+DETECTION_TIMEOUT_S = 5.0
+RECOVERY_S = 6.0
 RESULTS = Path("docs/measurements")
 EJECTED = re.compile(
     r"^(\d+-\d+-\d+ \d+:\d+:\d+),(\d+) .*ejected ([a-z]+)/([a-z0-9-]+)", re.M
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A user's services, servers and mix of requests."""
+    """A user's services, servers and request mix."""
 
     name: str
     halls: list[str]
@@ -115,24 +115,24 @@
 
 @dataclass
 class Trial:
-    """What one trial showed."""
+    """Results of one trial."""
 
     detection_s: dict[str, float] = field(default_factory=dict)
     undetected: int = 0
-    wrong: set[str] = field(default_factory=set)
+    wrongly_ejected: set[str] = field(default_factory=set)
     failed: int = 0
     requests: int = 0
     lowest_share: float = 1.0
 
 
 class Bench:
-    """One fleet under one policy."""
+    """Runs trials on one fleet with one ejection policy."""
 
     def __init__(self, deployment: Deployment, policy: str, seed: int, entries: int):
         self.deployment = deployment
         self.rng = random.Random(seed)
-        # Ejections by this hall's entries are not wrong while it is cut off.
-        self.cut_hall = ""
+        # Ejections by this hall's entries are not counted while it is partitioned.
+        self.partitioned_hall = ""
         servers = [
             ServerSpec(
                 f"{service}-{n + 1}",
@@ -152,106 +152,114 @@
             entry_command=entry_command(policy),
         )
 
-    async def trial(self, fault: str) -> Trial:
-        """Run load, set the fault, and see who is ejected when."""
-        load = self.load()
-        began = asyncio.create_task(load.run(SETTLE_S + LIMIT_S))
+    async def run_trial(self, fault: str) -> Trial:
+        """Run load, inject the fault, and record which servers are ejected and when."""
+        load = self.build_load()
+        load_task = asyncio.create_task(load.run(SETTLE_S + DETECTION_TIMEOUT_S))
         await asyncio.sleep(SETTLE_S)
-        expected = await asyncio.to_thread(self.begin, fault)
+        expected = await asyncio.to_thread(self.inject_fault, fault)
         fault_at_s = time.time()
         if fault == "flapping":
-            await self.flap(expected, LIMIT_S)
-        await began
-        trial = self.read(expected, fault_at_s)
+            await self.toggle_fault(expected, DETECTION_TIMEOUT_S)
+        await load_task
+        trial = self.read_ejections(expected, fault_at_s)
         trial.failed = load.failed()
         trial.requests = sum(len(a) for a in load.answers.values())
-        await asyncio.to_thread(self.heal)
-        recovery = self.load()
-        await recovery.run(RECOVER_S)
+        await asyncio.to_thread(self.clear_faults)
+        recovery = self.build_load()
+        await recovery.run(RECOVERY_S)
         return trial
 
-    def load(self) -> Load:
-        """Return the deployment's load."""
+    def build_load(self) -> Load:
+        """Return a load generator for the deployment."""
         ports = [entry.callers_port for entry in self.fleet.entries]
         streams = self.deployment.streams
         return Load(ports, streams, random.Random(self.rng.random()))
 
-    def begin(self, fault: str) -> set[str]:
-        """Set a fault; return the servers that should be ejected."""
-        chosen = {
+    def inject_fault(self, fault: str) -> set[str]:
+        """Inject a fault; return the servers that should be ejected."""
+        faulty_servers = {
             f"{target}-{self.rng.randrange(self.deployment.counts[target]) + 1}"
             for target in self.deployment.targets
         }
-        every = [server.name for server in self.fleet.servers]
+        all_servers = [server.name for server in self.fleet.servers]
         first, _, streamed = self.deployment.targets
         match fault:
             case "stall":
-                self.afflict(chosen, stall=True)
+                self.set_faults(faulty_servers, stall=True)
             case "slow":
-                self.afflict(chosen, slow_factor=10.0)
+                self.set_faults(faulty_servers, slow_factor=10.0)
             case "errors":
-                # Streams of the stand-in do not answer with errors.
-                chosen = {name for name in chosen if not name.startswith(streamed)}
-                self.afflict(chosen, error_share=0.3)
+                # The simulated servers do not fail streamed responses with errors.
+                faulty_servers = {
+                    name for name in faulty_servers if not name.startswith(streamed)
+                }
+                self.set_faults(faulty_servers, error_share=0.3)
             case "stall-path":
-                chosen = {name for name in chosen if name.startswith(first)}
-                self.afflict(chosen, stall_path=self.deployment.streams[0].path)
+                faulty_servers = {
+                    name for name in faulty_servers if name.startswith(first)
+                }
+                self.set_faults(
+                    faulty_servers, stall_path=self.deployment.streams[0].path
+                )
             case "flapping":
                 pass
             case "hall-cut":
                 hall = self.rng.choice(self.deployment.halls)
-                away = [s.name for s in self.fleet.servers if s.data_hall != hall]
-                self.afflict(away, mute=True, from_names=[hall + "-"])
-                self.cut_hall = hall
+                other_servers = [
+                    s.name for s in self.fleet.servers if s.data_hall != hall
+                ]
+                self.set_faults(other_servers, mute=True, from_names=[hall + "-"])
+                self.partitioned_hall = hall
                 return set()
             case "sick-entry":
                 entry = self.rng.choice(self.fleet.entries).name
-                self.afflict(every, mute=True, from_names=[entry + "-"])
+                self.set_faults(all_servers, mute=True, from_names=[entry + "-"])
                 return set()
             case "service-slow":
-                self.afflict(
-                    [n for n in every if n.startswith(first)], slow_factor=10.0
+                self.set_faults(
+                    [n for n in all_servers if n.startswith(first)], slow_factor=10.0
                 )
                 return set()
             case "half":
-                names = [n for n in every if n.startswith(first)]
-                chosen = set(self.rng.sample(names, len(names) // 2))
-                self.afflict(chosen, stall=True)
+                names = [n for n in all_servers if n.startswith(first)]
+                faulty_servers = set(self.rng.sample(names, len(names) // 2))
+                self.set_faults(faulty_servers, stall=True)
             case "cold":
-                for name in chosen:
+                for name in faulty_servers:
                     self.fleet._send_command(name, "cold", b"3")
                 return set()
             case "overload":
                 return set()
             case "none":
                 return set()
-        return chosen
+        return faulty_servers
 
-    async def flap(self, chosen: set[str], duration_s: float) -> None:
+    async def toggle_fault(self, faulty_servers: set[str], duration_s: float) -> None:
         """Switch a fault on and off every 3 s."""
         end_s = time.time() + duration_s
         while time.time() < end_s:
-            await asyncio.to_thread(self.afflict, chosen, stall=True)
+            await asyncio.to_thread(self.set_faults, faulty_servers, stall=True)
             await asyncio.sleep(3)
-            await asyncio.to_thread(self.afflict, chosen)
+            await asyncio.to_thread(self.set_faults, faulty_servers)
             await asyncio.sleep(3)
 
-    def afflict(self, names, **faults) -> None:
-        """Set the same faults on several servers."""
+    def set_faults(self, names, **faults) -> None:
+        """Set the same faults on several servers; none removes their faults."""
         for name in names:
             self.fleet.set_faults(name, **faults)
 
-    def heal(self) -> None:
-        """Take every fault away."""
-        self.cut_hall = ""
-        self.afflict([server.name for server in self.fleet.servers])
+    def clear_faults(self) -> None:
+        """Remove all faults."""
+        self.partitioned_hall = ""
+        self.set_faults([server.name for server in self.fleet.servers])
 
-    def read(self, expected: set[str], since_s: float) -> Trial:
-        """Read the entries' log lines since a time."""
+    def read_ejections(self, expected: set[str], since_s: float) -> Trial:
+        """Evaluate the ejections in the entries' logs since a time."""
         trial = Trial()
         seen: dict[str, dict[str, float]] = {}
         for entry in self.fleet.entries:
-            if entry.data_hall == self.cut_hall:
+            if entry.data_hall == self.partitioned_hall:
                 continue
             for date, milli, _, server in EJECTED.findall(
                 self.fleet.log_of(entry.name)
@@ -266,27 +274,27 @@
                 trial.detection_s[server] = max(entries.values()) - since_s
             else:
                 trial.undetected += 1
-                trial.detection_s[server] = LIMIT_S
-        trial.wrong = set(seen) - expected
+                trial.detection_s[server] = DETECTION_TIMEOUT_S
+        trial.wrongly_ejected = set(seen) - expected
         return trial
 
 
 def entry_command(policy: str) -> list[str]:
-    """Return the command that starts an entry under a policy."""
+    """Return the command that starts an entry with a policy."""
     if policy == "pooled":
         return CINDERWAY
     return [sys.executable, "-m", "bench.baselines", policy]
 
 
 async def measure(bench: Bench, faults: list[str], trials: int, policy: str):
-    """Run all trials; return a table row a fault."""
+    """Run all trials; return one table row per fault."""
     rows = []
-    await bench.load().run(WARM_UP_S)
+    await bench.build_load().run(WARM_UP_S)
     for fault in faults:
-        done = [await bench.trial(fault) for _ in range(trials)]
-        times_s = [t for trial in done for t in trial.detection_s.values()]
+        trials_done = [await bench.run_trial(fault) for _ in range(trials)]
+        times_s = [t for trial in trials_done for t in trial.detection_s.values()]
         median, p99, worst = percentiles_ms(times_s)
-        wrong = sum(len(trial.wrong) for trial in done)
+        wrongly_ejected = sum(len(trial.wrongly_ejected) for trial in trials_done)
         row = [
             bench.deployment.name,
             policy,
@@ -295,21 +303,21 @@
             ms(median),
             ms(p99),
             ms(worst),
-            sum(trial.undetected for trial in done),
-            wrong,
-            sum(trial.failed for trial in done),
-            sum(trial.requests for trial in done),
+            sum(trial.undetected for trial in trials_done),
+            wrongly_ejected,
+            sum(trial.failed for trial in trials_done),
+            sum(trial.requests for trial in trials_done),
         ]
-        print_details(row, done)
+        print_details(row, trials_done)
         rows.append(row)
     return rows
 
 
-def print_details(row: list, done: list[Trial]) -> None:
-    """Print a fault's row, what was ejected wrongly, and each detection in s."""
-    wrongly = sorted(set().union(*(trial.wrong for trial in done)))
+def print_details(row: list, trials_done: list[Trial]) -> None:
+    """Print a fault's row, the wrongly ejected servers and all detection times in s."""
+    wrongly = sorted(set().union(*(trial.wrongly_ejected for trial in trials_done)))
     print(json.dumps(row), *wrongly, flush=True)
-    for trial in done:
+    for trial in trials_done:
         found = sorted(trial.detection_s.items(), key=lambda pair: pair[1])
         print("   ", *(f"{name} {found_s:.2f}" for name, found_s in found), flush=True)
 
@@ -327,16 +335,18 @@
     "failed requests",
     "requests",
 ]
-DETECTED = ["stall", "slow", "errors", "stall-path", "half"]
-INNOCENT = ["none", "sick-entry", "service-slow", "cold", "hall-cut"]
+DETECTABLE_FAULTS = ["stall", "slow", "errors", "stall-path", "half"]
+FAULTS_WITHOUT_EJECTION = ["none", "sick-entry", "service-slow", "cold", "hall-cut"]
 
 
 def main(arguments: list[str]) -> None:
-    """Run the bench and append its table to the measurements."""
+    """Run the benchmark, print its table and append it to a file if one is given."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--deployment", default=METER_READING.name)
     parser.add_argument("--policy", default="pooled")
-    parser.add_argument("--faults", default=",".join(DETECTED + INNOCENT))
+    parser.add_argument(
+        "--faults", default=",".join(DETECTABLE_FAULTS + FAULTS_WITHOUT_EJECTION)
+    )
     parser.add_argument("--trials", type=int, default=10)
     parser.add_argument("--entries", type=int, default=ENTRIES)
     parser.add_argument("--seed", type=int, default=1)
@@ -350,7 +360,7 @@
         rows = asyncio.run(
             measure(bench, options.faults.split(","), options.trials, options.policy)
         )
-    text = table(HEADER, rows)
+    text = format_table(HEADER, rows)
     print(text)
     if options.write:
         with (RESULTS / options.write).open("a") as file:
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Percentiles and tables."""
+"""Percentiles and Markdown tables of the benchmarks."""
 
 from collections.abc import Iterable
 
@@ -22,7 +22,7 @@
     )
 
 
-def table(header: list[str], rows: list[list]) -> str:
+def format_table(header: list[str], rows: list[list]) -> str:
     """Return a Markdown table."""
     lines = ["| " + " | ".join(header) + " |", "|" + "---|" * len(header)]
     lines += ["| " + " | ".join(str(cell) for cell in row) + " |" for row in rows]
--- a/bench/kills.py
+++ b/bench/kills.py
@@ -1,11 +1,11 @@
-"""Kills at random points under duplicate submissions: how often does each key run?
+"""Count the runs of each key when processes are killed during duplicate submissions.
 
     python -m bench kills [--kills 200]
 
-Four entries, three ledger replicas, four backend servers. Each key is
-sent through several entries, again after a failure, while ledger replicas (the
-leader among them) and entries are killed one after another. Backend servers count
-the runs of each key; a server fails by dropping an answer after the run.
+Uses four entries, three ledger replicas and four backend servers. Each key is sent
+through several entries, and again after a failure, while ledger replicas (including the
+leader) and entries are killed one at a time. Backend servers count the runs of each
+key; a server fails by dropping the response after the run.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from bench.figures import table
+from bench.figures import format_table
 from standins.fleet import Fleet, ServerSpec, ServiceSpec
 from standins.load import Caller
 
@@ -26,22 +26,22 @@
 ]
 SERVERS = [ServerSpec(f"readings-{n}", "readings", "suva", 8, 10) for n in range(4)]
 ENTRIES = 4
-COPIES = 3
-PAUSE_S = 0.02
+COPIES_PER_KEY = 3
+KEY_INTERVAL_S = 0.02
 KILL_PAUSE_S = 0.25
 DEADLINE_MS = "3000"
 
 
 @dataclass
 class Outcome:
-    """What was told to callers, by key."""
+    """Outcomes reported to callers by key, and kills by kind of process."""
 
-    told: dict[str, list[str]] = field(default_factory=dict)
+    reported: dict[str, list[str]] = field(default_factory=dict)
     kills: Counter = field(default_factory=Counter)
 
 
 class Kills:
-    """Submits and kills side by side."""
+    """Submits requests and kills processes concurrently."""
 
     def __init__(self, fleet: Fleet, kills: int, seed: int):
         self.fleet = fleet
@@ -49,27 +49,27 @@
         self.rng = random.Random(seed)
         self.outcome = Outcome()
         self.caller = Caller()
-        self.is_over = False
+        self.is_finished = False
 
     async def run(self) -> Outcome:
-        """Run until all kills are done, then let the last submissions end."""
+        """Run until all kills are done, then wait for the remaining submissions."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.submit(tasks))
             await self.kill_all()
-            self.is_over = True
+            self.is_finished = True
         return self.outcome
 
     async def submit(self, tasks) -> None:
-        """Send new keys, each through several entries at about the same time."""
+        """Send several copies of each new key concurrently, through random entries."""
         number = 0
-        while not self.is_over:
+        while not self.is_finished:
             number += 1
-            await asyncio.sleep(PAUSE_S)
-            for _ in range(COPIES):
+            await asyncio.sleep(KEY_INTERVAL_S)
+            for _ in range(COPIES_PER_KEY):
                 tasks.create_task(self.send(f"key-{number}"))
 
     async def send(self, key: str) -> None:
-        """Send one copy, and once more if its answer was lost or not final."""
+        """Send one copy, and again if its response was lost or did not report 'ran'."""
         headers = {"Idempotency-Key": key, "X-Caller": "ana"}
         headers["Cinderway-Deadline-Ms"] = DEADLINE_MS
         for _ in range(2):
@@ -78,20 +78,20 @@
             answer = await self.caller.request(
                 port, "POST", "/readings/m", headers, key.encode()
             )
-            told = answer.headers.get("cinderway-outcome", "no answer")
-            self.outcome.told.setdefault(key, []).append(told)
-            if told == "ran":
+            reported = answer.headers.get("cinderway-outcome", "no answer")
+            self.outcome.reported.setdefault(key, []).append(reported)
+            if reported == "ran":
                 return
 
     async def kill_all(self) -> None:
-        """Kill and restart one process after another."""
+        """Kill and restart random processes one at a time."""
         for _ in range(self.kills):
             await asyncio.sleep(self.rng.random() * KILL_PAUSE_S * 2)
             kind = self.rng.choice(["ledger", "entry", "server"])
             await asyncio.to_thread(self.kill_one, kind)
 
     def kill_one(self, kind: str) -> None:
-        """Kill a process and start it again; its disk, if any, stays."""
+        """Kill and restart a process, keeping its folder, or make a server fail."""
         self.outcome.kills[kind] += 1
         if kind == "ledger":
             address = self.rng.choice(self.fleet.ledger)
@@ -108,7 +108,7 @@
         self.fleet.start_entry(entry)
 
     def fail_server(self) -> None:
-        """Let a server run requests and then break the connection unanswered."""
+        """Let a server drop responses after running requests, for a while."""
         server = self.rng.choice(SERVERS).name
         self.fleet.set_faults(server, drop_answer=True)
         time.sleep(KILL_PAUSE_S)
@@ -116,7 +116,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print how often keys ran and what callers were told."""
+    """Print how often keys ran and which outcomes callers got."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--kills", type=int, default=200)
     parser.add_argument("--seed", type=int, default=1)
@@ -128,25 +128,35 @@
         runs: Counter = Counter()
         for server in SERVERS:
             runs.update(fleet.counts(server.name)["runs"])
-    spread = Counter(runs.get(key, 0) for key in outcome.told)
-    told = Counter(what for answers in outcome.told.values() for what in answers)
-    untrue = [
+    key_count_by_runs = Counter(runs.get(key, 0) for key in outcome.reported)
+    reported = Counter(
+        outcome_name
+        for answers in outcome.reported.values()
+        for outcome_name in answers
+    )
+    false_ran = [
         key
-        for key, answers in outcome.told.items()
+        for key, answers in outcome.reported.items()
         if "ran" in answers and not runs.get(key)
     ]
     print(
         f"seed {options.seed}, {sum(outcome.kills.values())} kills "
         f"{dict(outcome.kills)} in {time.monotonic() - began_s:.0f} s"
     )
-    print(f"{len(outcome.told)} keys, runs per key: {dict(sorted(spread.items()))}")
-    not_run_but_ran = [
+    print(
+        f"{len(outcome.reported)} keys, runs per key: "
+        f"{dict(sorted(key_count_by_runs.items()))}"
+    )
+    false_not_run = [
         key
-        for key, answers in outcome.told.items()
+        for key, answers in outcome.reported.items()
         if set(answers) == {"not_run"} and runs.get(key)
     ]
-    print(f"told 'ran' without a run: {len(untrue)}")
-    print(f"told only 'not_run' but ran: {len(not_run_but_ran)}\n")
-    total = sum(told.values())
-    rows = [[what, n, f"{n / total:.1%}"] for what, n in told.most_common()]
-    print(table(["told to callers", "answers", "share"], rows))
+    print(f"reported as 'ran' without a run: {len(false_ran)}")
+    print(f"reported only as 'not_run' but ran: {len(false_not_run)}\n")
+    total = sum(reported.values())
+    rows = [
+        [outcome_name, n, f"{n / total:.1%}"]
+        for outcome_name, n in reported.most_common()
+    ]
+    print(format_table(["reported outcome", "answers", "share"], rows))
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: claims a second and their latency, with synced disks.
+"""Ledger benchmark: claims per second and their latency, with synced disks.
 
 python -m bench ledger [--seconds 5]
 """
@@ -10,18 +10,20 @@
 
 import anyio
 
-from bench.figures import ms, percentiles_ms, table
+from bench.figures import format_table, ms, percentiles_ms
 from cinderway._clock import monotonic_ms
 from cinderway.ledger import Claim, ClaimName, Finish, LedgerClient, Resolution
 from cinderway.wire import Identity
 from standins.fleet import SHARED_KEY, Fleet
 
-AT_ONCE = (1, 8, 32, 128)
-CALL_MS = 10_000
+CONCURRENCY_LEVELS = (1, 8, 32, 128)
+CALL_TIMEOUT_MS = 10_000
 
 
-async def claim_for(addresses: list[str], at_once: int, seconds: float) -> list[float]:
-    """Claim and finish without a pause; return each claim's latency in s."""
+async def claim_for(
+    addresses: list[str], concurrency: int, seconds: float
+) -> list[float]:
+    """Claim and finish without pauses; return the latencies of the claims in s."""
     latencies_s: list[float] = []
     identity = Identity("bench", SHARED_KEY.encode())
     end_s = time.perf_counter() + seconds
@@ -32,22 +34,22 @@
             name = ClaimName("payouts", f"caller-{number}", key)
             claim = Claim(name, b"f" * 16, key, "bench", 5_000, 3_600_000)
             began_s = time.perf_counter()
-            await ledger.claim(claim, monotonic_ms() + CALL_MS)
+            await ledger.claim(claim, monotonic_ms() + CALL_TIMEOUT_MS)
             latencies_s.append(time.perf_counter() - began_s)
             finish = Finish(name, key, Resolution.RAN)
-            await ledger.finish(finish, monotonic_ms() + CALL_MS)
+            await ledger.finish(finish, monotonic_ms() + CALL_TIMEOUT_MS)
 
     async with anyio.create_task_group() as tasks:
         ledger = LedgerClient((tuple(addresses),), identity, tasks)
         async with anyio.create_task_group() as claimants:
-            for number in range(at_once):
+            for number in range(concurrency):
                 claimants.start_soon(claimant, ledger, number)
         tasks.cancel_scope.cancel()
     return latencies_s
 
 
 def main(arguments: list[str]) -> None:
-    """Print claims a second and latencies at 3 and 5 replicas."""
+    """Print claims per second and latencies with 3 and 5 replicas."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=4)
     options = parser.parse_args(arguments)
@@ -59,17 +61,17 @@
             for address in fleet.ledger:
                 fleet.start_replica("ledger", address)
             time.sleep(4)
-            for at_once in AT_ONCE:
+            for concurrency in CONCURRENCY_LEVELS:
                 latencies_s = asyncio.run(
-                    claim_for(fleet.ledger, at_once, options.seconds)
+                    claim_for(fleet.ledger, concurrency, options.seconds)
                 )
                 p50, p99, worst = percentiles_ms(latencies_s)
                 rate = len(latencies_s) / options.seconds
                 rows.append(
-                    [replicas, at_once, f"{rate:.0f}", ms(p50), ms(p99), ms(worst)]
+                    [replicas, concurrency, f"{rate:.0f}", ms(p50), ms(p99), ms(worst)]
                 )
                 print(rows[-1], flush=True)
         finally:
             fleet.stop()
-    header = ["replicas", "at once", "claims/s", "p50 ms", "p99 ms", "max ms"]
-    print(table(header, rows))
+    header = ["replicas", "concurrent claims", "claims/s", "p50 ms", "p99 ms", "max ms"]
+    print(format_table(header, rows))
--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -1,13 +1,13 @@
-"""Servers that name a rate: ways to keep the fleet to it, in virtual time.
+"""Compare strategies of enforcing servers' rate limits in a fleet, in virtual time.
 
     python -m bench server_limits [--seeds 2] [--fleets 40] [--limits all]
 
-Played is the product before model servers, with the way as it stands (a few entries
-divide each rate), with an equal part for each entry, with an equal part of which one
-request may be saved up from the start, with one place that grants each request at no
-cost in time (no way can do better), and with nobody reading the rate. `worst window` is
-the most that any limited server got in 4 s, as a share of what it bears; `used` what
-limited servers got of what they take.
+Simulates the product with model servers and these strategies: the product's own (a few
+entries divide each rate), an equal share for each entry, an equal share with one
+request saved up from the start, a central token bucket that grants each request without
+delay (an upper bound for all strategies), and no limit at all. `worst window` is the
+largest number of requests that a limited server got in 4 s, as a share of the number it
+accepts; `used` is the share of the accepted rate that limited servers got.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 from itertools import product
 from unittest import mock
 
-from bench.figures import table
+from bench.figures import format_table
 from cinderway._ids import DataHall, ServiceName
 from cinderway.catalog import RouteKind
 from cinderway.entry._limit_watch import LimitWatch
@@ -38,24 +38,24 @@
 PROCESSES = 2
 
 
-class Way(Enum):
-    """How the fleet is kept to a rate."""
+class Strategy(Enum):
+    """How the fleet enforces a server's rate limit."""
 
-    NOBODY_READS = "nobody reads it"
-    EQUAL_SAVED = "equal parts, one request saved up"
-    EQUAL = "equal parts, begun empty"
-    FEW = "a few entries divide it"
-    ONE_PLACE = "one place grants each request"
+    LIMIT_IGNORED = "limit ignored"
+    EQUAL_WITH_SAVED_REQUEST = "equal shares, one request saved up"
+    EQUAL = "equal shares, starting without a token"
+    FEW_ENTRIES = "a few entries share the rate"
+    CENTRAL = "central token bucket"
 
 
-# Halls, entries a hall, servers a hall, requests a second.
+# Halls, entries per hall, servers per hall, requests per second.
 FLEETS = {
     "12 entries, 20 servers, 57/s": (4, 3, 5, 57.0),
     "40 entries, 20 servers, 57/s": (4, 10, 5, 57.0),
     "105 entries, 60 servers, 170/s": (5, 21, 12, 170.0),
     "300 entries, 60 servers, 170/s": (5, 60, 12, 170.0),
 }
-# Rate a server names, and the share of the servers that name one.
+# Rate limit of a server, and the share of the servers that have one.
 LIMITS = {
     "one in ten at 1.5/s": (1.5, 0.1),
     "a third at 0.4/s": (0.4, 0.34),
@@ -64,8 +64,8 @@
 }
 
 
-def declared(fleet: str, limit: str, length_ms: int) -> Experiment:
-    """Return the experiment of a fleet and a kind of limit."""
+def build_experiment(fleet: str, limit: str, length_ms: int) -> Experiment:
+    """Return the experiment for a fleet and a kind of limit."""
     halls, entries_a_hall, servers_a_hall, per_s = FLEETS[fleet]
     rate_per_s, share = LIMITS[limit]
     return Experiment(
@@ -102,42 +102,46 @@
     )
 
 
-def _patches(way: Way, entries: int) -> list:
-    """Return what turns the product into another way."""
-    match way:
-        case Way.FEW:
+def _build_patches(strategy: Strategy, entries: int) -> list:
+    """Return the patches that replace the product's strategy by another."""
+    match strategy:
+        case Strategy.FEW_ENTRIES:
             return []
-        case Way.NOBODY_READS:
+        case Strategy.LIMIT_IGNORED:
             return [mock.patch.object(LimitWatch, "note")]
-        case Way.EQUAL:
-            return [_equal_parts(entries)]
-        case Way.EQUAL_SAVED:
+        case Strategy.EQUAL:
+            return [_patch_equal_shares(entries)]
+        case Strategy.EQUAL_WITH_SAVED_REQUEST:
             return [
-                _equal_parts(entries),
-                mock.patch.object(RateTurns, "set_share", _saved),
+                _patch_equal_shares(entries),
+                mock.patch.object(
+                    RateTurns, "set_share", _set_share_with_saved_request
+                ),
             ]
-        case Way.ONE_PLACE:
-            return _one_place()
+        case Strategy.CENTRAL:
+            return _patch_central()
 
 
-def _equal_parts(entries: int):
+def _patch_equal_shares(entries: int):
     def share(server, rate_per_s, entry, group):
         return rate_per_s / entries
 
     return mock.patch.object(_book, "share_of", share)
 
 
-def _saved(turns: RateTurns, share_per_s: float, now_ms: int) -> None:
+def _set_share_with_saved_request(
+    turns: RateTurns, share_per_s: float, now_ms: int
+) -> None:
     if not turns.share_per_s:
         turns._last_ms = round(now_ms - 1000 / share_per_s)
     turns.share_per_s = share_per_s
 
 
-def _one_place() -> list:
+def _patch_central() -> list:
     last_ms: dict[str, int] = {}
 
     class Shared(RateTurns):
-        """All entries' turns at one server."""
+        """A token bucket for one server that all entries share."""
 
         server = ""
 
@@ -152,7 +156,7 @@
             return True
 
         def give_back(self) -> None:
-            """Lose it."""
+            """Ignore a returned token."""
 
     def use_share(book, server, turns, now_ms):
         turns.server = server
@@ -164,39 +168,39 @@
     ]
 
 
-def figures(case: tuple[Way, str, str, int, int]) -> list[str]:
-    """Return one line: worst window, what is used, and what callers got."""
-    way, fleet, limit, seeds, length_ms = case
-    declaration = declared(fleet, limit, length_ms)
+def measure(case: tuple[Strategy, str, str, int, int]) -> list[str]:
+    """Simulate one case; return its row of the table."""
+    strategy, fleet, limit, seeds, length_ms = case
+    declaration = build_experiment(fleet, limit, length_ms)
     halls, entries_a_hall, _, _ = FLEETS[fleet]
-    plays = []
+    results = []
     for seed in range(1, seeds + 1):
         with ExitStack() as patched:
-            for patch in _patches(way, halls * entries_a_hall):
+            for patch in _build_patches(strategy, halls * entries_a_hall):
                 patched.enter_context(patch)
-            plays.append(play(declaration, seed))
-    worst, used, taken = 0.0, 0, 0.0
-    for played in plays:
-        for server in played.limited_servers:
+            results.append(play(declaration, seed))
+    worst, used, accepted = 0.0, 0, 0.0
+    for result in results:
+        for server in result.limited_servers:
             from_ms = server.named_at_ms + SETTLED_MS
-            bears = 1.5 * server.limit_per_s * WINDOW_MS / 1000 + 5
-            worst = max(worst, server.most_in(WINDOW_MS, from_ms) / bears)
+            capacity = 1.5 * server.limit_per_s * WINDOW_MS / 1000 + 5
+            worst = max(worst, server.most_in(WINDOW_MS, from_ms) / capacity)
             used += sum(from_ms <= at < length_ms for at in server.arrivals_ms)
-            taken += server.limit_per_s * (length_ms - from_ms) / 1000
-    route = by_route(plays)[0]
+            accepted += server.limit_per_s * (length_ms - from_ms) / 1000
+    route = by_route(results)[0]
     return [
         fleet,
         limit,
-        way.value,
+        strategy.value,
         f"{worst:.2f}",
-        f"{used / taken:.2f}" if taken else "",
+        f"{used / accepted:.2f}" if accepted else "",
         f"{100 * route.share(Outcome.IN_TIME):.1f}%",
         f"{100 * route.share(Outcome.REFUSED):.1f}%",
     ]
 
 
 def main(arguments: list[str]) -> None:
-    """Print the table."""
+    """Simulate the chosen cases and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--seconds", type=int, default=12)
@@ -204,10 +208,10 @@
     parser.add_argument("--limits", default="", help="Those whose name holds this.")
     options = parser.parse_args(arguments)
     cases = [
-        (way, fleet, limit, options.seeds, options.seconds * 1000)
-        for fleet, limit, way in product(FLEETS, LIMITS, Way)
+        (strategy, fleet, limit, options.seeds, options.seconds * 1000)
+        for fleet, limit, strategy in product(FLEETS, LIMITS, Strategy)
         if options.fleets in fleet and options.limits in limit
     ]
     header = ["fleet", "limits", "way", "worst window", "used", "in time", "refused"]
     with ProcessPoolExecutor(PROCESSES) as processes:
-        print(table(header, list(processes.map(figures, cases))))
+        print(format_table(header, list(processes.map(measure, cases))))
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -1,17 +1,17 @@
-"""Slots: 36 entries before 5 servers of 3 slots, from half load to overload.
+"""Slot utilization with 36 entries and 5 servers of 3 slots, up to overload.
 
     python -m bench slots [--seconds 8] [--queue 3]
 
-A server takes as many requests as it has slots, lets `queue` more wait, and sheds the
-rest by its own word. Nobody shares the slots out: entries choose by the load that
-answers report, and pause after a shed. Measured is what that costs.
+A server runs as many requests as it has slots, queues up to `queue` more, and sheds the
+rest. Slots are not allocated to entries: they choose servers by the load reported in
+responses, and pause after a shed. This measures the cost of that design.
 """
 
 import argparse
 import asyncio
 import random
 
-from bench.figures import ms, percentiles_ms, table
+from bench.figures import format_table, ms, percentiles_ms
 from standins.fleet import Fleet, ServerSpec, ServiceSpec
 from standins.load import Load, Stream
 
@@ -24,14 +24,14 @@
 
 
 async def measure(fleet: Fleet, share: float, seconds: float) -> list:
-    """Load the servers to a share of their capacity; return a row."""
+    """Load the servers with a share of their capacity; return a row of the table."""
     rate_per_s = share * SERVERS * SLOTS / (WORK_MS / 1000)
     stream = Stream("lookup", rate_per_s, "/lookup/a", deadline_ms=DEADLINE_MS)
     ports = [entry.callers_port for entry in fleet.entries]
-    before = totals(fleet)
+    before = read_totals(fleet)
     load = Load(ports, [stream], random.Random(1))
     await load.run(seconds)
-    after = totals(fleet)
+    after = read_totals(fleet)
     served = after["served"] - before["served"]
     shed = after["shed"] - before["shed"]
     good = [a.latency_s for a in load.answers["lookup"] if a.status == 200]
@@ -49,14 +49,14 @@
     ]
 
 
-def totals(fleet: Fleet) -> dict[str, int]:
-    """Return what all servers did so far."""
+def read_totals(fleet: Fleet) -> dict[str, int]:
+    """Return the sums of all servers' counters."""
     counts = [fleet.counts(server.name) for server in fleet.servers]
     return {what: sum(c[what] for c in counts) for what in ("served", "shed")}
 
 
 def main(arguments: list[str]) -> None:
-    """Print a row a load."""
+    """Print one row per load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8)
     parser.add_argument("--queue", type=int, default=SLOTS)
@@ -82,4 +82,4 @@
         f"{options.entries} entries, {SERVERS} servers of {SLOTS} slots, "
         f"server queue {options.queue}\n"
     )
-    print(table(header, rows))
+    print(format_table(header, rows))
--- a/bench/table.py
+++ b/bench/table.py
@@ -1,4 +1,4 @@
-"""The table: edits accepted, in force on every entry, leader changes, restarts.
+"""Table benchmark: latency of edits and their propagation, leader change, restart.
 
 python -m bench table [--entries 36] [--edits 40]
 """
@@ -14,7 +14,7 @@
 
 import anyio
 
-from bench.figures import ms, percentiles_ms, table
+from bench.figures import format_table, ms, percentiles_ms
 from cinderway._clock import monotonic_ms
 from cinderway.replication import DataFolder, Node, NodeSettings
 from cinderway.replication._messages import Entry, EntryKind, HardState
@@ -37,14 +37,14 @@
 SERVERS = [ServerSpec(f"lookup-{n}", "lookup", "suva") for n in range(4)]
 HALLS = ["suva", "lautoka", "nadi"]
 IN_FORCE = re.compile(r"^(\S+ \S+),(\d+) .*in force: table revision (\d+)$", re.M)
-EDITS_BEHIND_A_RESTART = 10_000
-BATCH = 50
+EDITS_BEFORE_RESTART = 10_000
+BATCH_SIZE = 50
 
 
 async def edit_many(fleet: Fleet, count: int, kill_after: int = -1) -> dict[int, tuple]:
-    """Set one cell again and again; return (sent, accepted) by revision, in s."""
+    """Set one cell repeatedly; return (sent, accepted) times in s by revision."""
     identity = Identity("bench", SHARED_KEY.encode())
-    done = {}
+    edit_times = {}
     async with anyio.create_task_group() as tasks:
         client = GroupClient(tuple(fleet.control), TABLE, identity, tasks)
         for number in range(count):
@@ -67,17 +67,20 @@
                 fleet.kill(f"control-{client._leader}")
             sent_s = time.time()
             accepted = await client.call(SubmitEdit(edit), monotonic_ms() + 10_000)
-            done[accepted.revision] = (sent_s, time.time())
+            edit_times[accepted.revision] = (sent_s, time.time())
             await anyio.sleep(0.05)
         tasks.cancel_scope.cancel()
-    return done
+    return edit_times
 
 
-def in_force_s(fleet: Fleet, done: dict[int, tuple]) -> list[float]:
-    """Return, for each edit, when the last entry had it or a newer one in force."""
-    found = []
+def measure_propagation_s(fleet: Fleet, edit_times: dict[int, tuple]) -> list[float]:
+    """Return, for each edit, the delay from its acceptance until all entries apply it.
+
+    An entry that applies a newer revision has applied the edit, too.
+    """
+    delays_s = []
     logs = [IN_FORCE.findall(fleet.log_of(entry.name)) for entry in fleet.entries]
-    for revision, (_, accepted_s) in done.items():
+    for revision, (_, accepted_s) in edit_times.items():
         last_s = 0.0
         for lines in logs:
             times = [
@@ -87,8 +90,8 @@
                 if int(installed) >= revision
             ]
             last_s = max(last_s, min(times, default=float("inf")))
-        found.append(max(last_s - accepted_s, 0.0))
-    return found
+        delays_s.append(max(last_s - accepted_s, 0.0))
+    return delays_s
 
 
 def log_time_s(date: str, milli: str) -> float:
@@ -97,23 +100,23 @@
 
 
 def run(entries: int, control: int, edits: int, *, kill: bool = False) -> list:
-    """Measure one fleet; return a row."""
+    """Measure one fleet; return a row of the printed table."""
     fleet = Fleet(
         SERVICES, SERVERS, HALLS, entries, control=control, ledger=0, log_level="info"
     )
     with fleet:
         kill_after = edits // 2 if kill else -1
-        done = asyncio.run(edit_many(fleet, edits, kill_after))
+        edit_times = asyncio.run(edit_many(fleet, edits, kill_after))
         time.sleep(3)
-        spread_s = in_force_s(fleet, done)
-    accepted = percentiles_ms(after - before for before, after in done.values())
-    in_force = percentiles_ms(spread_s)
-    what = f"{control} replicas" + (", leader killed" if kill else "")
-    return [what, entries, edits, *map(ms, accepted), *map(ms, in_force)]
+        propagation_s = measure_propagation_s(fleet, edit_times)
+    accepted = percentiles_ms(after - before for before, after in edit_times.values())
+    in_force = percentiles_ms(propagation_s)
+    configuration = f"{control} replicas" + (", leader killed" if kill else "")
+    return [configuration, entries, edits, *map(ms, accepted), *map(ms, in_force)]
 
 
 def restart_ms(edits: int) -> float:
-    """Return how long a replica takes to come back with edits in its log."""
+    """Return the time a replica takes to recover a log with this many edits."""
     with tempfile.TemporaryDirectory() as name:
         address = "127.0.0.1:7000"
         folder = DataFolder(Path(name), "control", address)
@@ -122,12 +125,14 @@
         entries = []
         for index in range(1, edits + 1):
             changes = (
-                first_changes() if index == 1 else [weight_change(index, revision)]
+                build_initial_changes()
+                if index == 1
+                else [build_weight_change(index, revision)]
             )
             edit = Edit(f"e{index}", "bench", revision, changes)
             entries.append(Entry(index, 1, EntryKind.COMMAND, edit.encode()))
             revision += 1
-            if len(entries) == BATCH or index == edits:
+            if len(entries) == BATCH_SIZE or index == edits:
                 folder.append(HardState(1), entries)
                 entries = []
         folder.close()
@@ -145,8 +150,8 @@
     return elapsed_s * 1000
 
 
-def first_changes() -> list[Change]:
-    """Return the changes that make a service with one server."""
+def build_initial_changes() -> list[Change]:
+    """Return the changes that create a service with one server."""
     cells = {"service": "lookup", "data_hall": "suva", "address": "127.0.0.1:1"}
     changes = [
         Change(Action.CREATE, Sheet.SERVICES, "lookup"),
@@ -157,21 +162,21 @@
     return changes
 
 
-def weight_change(number: int, revision: int) -> Change:
+def build_weight_change(number: int, revision: int) -> Change:
     """Return a change of one cell."""
     seen = 1 if number == 2 else revision
     return Change(Action.SET, Sheet.SERVERS, "s1", "weight", str(number % 99 + 1), seen)
 
 
 def main(arguments: list[str]) -> None:
-    """Print all figures."""
+    """Run all measurements and print them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=36)
     parser.add_argument("--edits", type=int, default=40)
     options = parser.parse_args(arguments)
-    restarts = [restart_ms(EDITS_BEHIND_A_RESTART) for _ in range(3)]
+    restarts = [restart_ms(EDITS_BEFORE_RESTART) for _ in range(3)]
     print(
-        f"restart after {EDITS_BEHIND_A_RESTART} edits: "
+        f"restart after {EDITS_BEFORE_RESTART} edits: "
         f"{statistics.median(restarts):.0f} ms (median of 3)",
         flush=True,
     )
@@ -183,4 +188,4 @@
     header = ["control", "entries", "edits"]
     header += [f"accepted {name} ms" for name in ("p50", "p99", "max")]
     header += [f"in force {name} ms" for name in ("p50", "p99", "max")]
-    print(table(header, rows))
+    print(format_table(header, rows))
--- a/bench/wakeups.py
+++ b/bench/wakeups.py
@@ -1,12 +1,12 @@
-"""What wakes our processes, and what they tell each other.
+"""Timers, messages and CPU time of the product's processes.
 
     python -m bench wakeups [--entries 6] [--seconds 10] [--per-s 0]
 
-Real processes that serve by the catalog, before stand-in servers, at rest or with some
-requests a second. Counted by process and second, means over each role: timers that
-ran out by the function that set them, messages and their bytes by kind, processor time.
-They run on the standard library's event loop: its processor time is higher than
-uvloop's.
+Runs entries and control replicas that use the catalog with simulated servers, idle or
+with some requests per second. Prints means per process and second for each role:
+expired timers by the function that set them, messages and their bytes by type, and CPU
+time. The processes run on the standard library's event loop, which uses more CPU time
+than uvloop.
 """
 
 import argparse
@@ -22,14 +22,14 @@
 
 from bench._counted import Counts
 from bench.control_cost import cpu_s
-from bench.figures import table
+from bench.figures import format_table
 from standins import catalog_fleet
 from standins.catalog_fleet import CatalogFleet, RegisteredServer, call, wait_for
 from standins.fleet import free_ports
 
 SETTLE_S = 6.0
 SERVERS = 4
-ROWS = 12
+PRINTED_ROWS = 12
 SHEET = {
     "version": 1,
     "routes": [
@@ -48,8 +48,8 @@
 }
 
 
-class PeersFleet(CatalogFleet):
-    """A fleet whose entries can tell each other their news, as on the platform."""
+class GossipingFleet(CatalogFleet):
+    """A fleet whose entries listen for gossip of their peers, as on the platform."""
 
     def start_entry(self, number: int, **settings: str) -> None:
         """Start one entry."""
@@ -58,8 +58,8 @@
         super().start_entry(number, peers_listen=peers_listen, **settings)
 
 
-def _counts(fleet: CatalogFleet, folder: Path) -> dict[str, Counts]:
-    """Let all processes write what they did so far, and read that."""
+def _read_counts(fleet: CatalogFleet, folder: Path) -> dict[str, Counts]:
+    """Make all processes write their counters, and read them."""
     for path in folder.glob("*.json"):
         path.unlink()
     for process in fleet.processes.values():
@@ -82,7 +82,7 @@
 
 
 def _measure(fleet: CatalogFleet, folder: Path, seconds: float, per_s: float) -> None:
-    before = _counts(fleet, folder)
+    before = _read_counts(fleet, folder)
     pids = {name: process.pid for name, process in fleet.processes.items()}
     cpu_before_s = {name: cpu_s(pid) for name, pid in pids.items()}
     began_s = time.monotonic()
@@ -90,41 +90,44 @@
         _send_requests(fleet, per_s, began_s + seconds)
     else:
         time.sleep(seconds)
-    after = _counts(fleet, folder)
-    took_s = time.monotonic() - began_s
+    after = _read_counts(fleet, folder)
+    elapsed_s = time.monotonic() - began_s
     for role in ("entry", "control"):
         names = [name for name in pids if name.startswith(role)]
-        scale = 1 / took_s / len(names)
+        scale = 1 / elapsed_s / len(names)
         used_s = sum(cpu_s(pids[n]) - cpu_before_s[n] for n in names) * scale
         print(f"\n{role}: {len(names)} processes, {100 * used_s:.1f}% of a core each\n")
         for field in ("timers", "messages", "message_bytes"):
-            _print(role, field, before, after, names, scale)
+            _print_rates(role, field, before, after, names, scale)
 
 
-def _print(role, field, before, after, names, scale) -> None:
+def _print_rates(role, field, before, after, names, scale) -> None:
     total: Counter[str] = Counter()
     for name in names:
         total.update(getattr(after[name], field))
         total.subtract(getattr(before[name], field))
     rows = [["all", f"{total.total() * scale:.2f}"]]
-    rows += [[what, f"{count * scale:.2f}"] for what, count in total.most_common(ROWS)]
-    print(table([f"{role}: {field}", "a second and process"], rows) + "\n")
+    rows += [
+        [what, f"{count * scale:.2f}"]
+        for what, count in total.most_common(PRINTED_ROWS)
+    ]
+    print(format_table([f"{role}: {field}", "per second and process"], rows) + "\n")
 
 
 def main(arguments: list[str]) -> None:
-    """Print what was counted."""
+    """Measure a fleet and print its counters."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", type=int, default=6)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--per-s", type=float, default=0.0)
     options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory() as folder:
-        # Fleets give their processes no environment; the tree to measure may not be
-        # the one that is installed.
+        # A fleet's processes inherit only PATH. PYTHONPATH selects the tree to measure,
+        # which may differ from the installed one.
         path = f"PYTHONPATH={os.environ.get('PYTHONPATH', '')}"
         command = ["env", path, sys.executable, "-m", "bench._counted", folder]
         catalog_fleet.CINDERWAY = command
-        fleet = PeersFleet(entries=options.entries)
+        fleet = GossipingFleet(entries=options.entries)
         servers = [RegisteredServer(f"i-{n}", "lookup") for n in range(SERVERS)]
         try:
             fleet.start()
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,7 +1,7 @@
-"""The whole system on loopback: start it, use it, break it, and check each answer.
+"""Demo of the whole system on loopback, with checks of normal use and of a fault.
 
 Starts 3 control and 3 ledger replicas, 4 entries in two data halls and a small fleet
-of stand-in backend servers, with the services of both deployments.
+of simulated backend servers, with the services of both deployments.
 """
 
 import json
@@ -17,11 +17,11 @@
 
 HALLS = ["suva", "nadi"]
 MAP_KIB = 512
-STALL_FOUND_WITHIN_S = 5.0
-EDIT_IN_FORCE_WITHIN_S = 5.0
+STALL_DETECTION_TIMEOUT_S = 5.0
+EDIT_TIMEOUT_S = 5.0
 LOOKUPS = 48
-LOOKUPS_AT_ONCE = 8
-FAST_S = 0.5
+CONCURRENT_LOOKUPS = 8
+FAST_LATENCY_S = 0.5
 WHOLE = "whole"
 STREAM = "stream"
 
@@ -55,20 +55,20 @@
         },
     ),
 ]
-COUNTS = {"lookup": 6, "readings": 4, "maps": 3, "invoices": 6, "payouts": 4}
+SERVER_COUNTS = {"lookup": 6, "readings": 4, "maps": 3, "invoices": 6, "payouts": 4}
 
 
-def sample_servers() -> list[ServerSpec]:
-    """Return a small version of both deployments' backend servers."""
+def build_servers() -> list[ServerSpec]:
+    """Return a few backend servers for the services of both deployments."""
     return [
         ServerSpec(f"{service}-{i + 1}", service, HALLS[i % len(HALLS)], slots=4)
-        for service, count in COUNTS.items()
+        for service, count in SERVER_COUNTS.items()
         for i in range(count)
     ]
 
 
 class Demo:
-    """The steps, each printed with what was checked."""
+    """Runs the steps and prints the result of each."""
 
     def __init__(self, fleet: Fleet):
         self.fleet = fleet
@@ -76,30 +76,35 @@
 
     def run(self) -> int:
         """Run all steps; return how many failed."""
-        self.check("lookups are answered by every entry", self.lookups())
-        self.check("a submission sent twice runs once", self.submissions())
-        self.check("a route map arrives whole", self.download())
-        self.check("a path without a service is refused with a code", self.unknown())
-        self.check("a stalled backend server loses its traffic", self.stall())
-        self.check("an edited cell is in force on every entry", self.edit())
-        self.check("a bad cell is refused", self.bad_edit())
+        self.report_step("every entry answers lookups", self.check_lookups())
+        self.report_step("a submission sent twice runs once", self.check_submissions())
+        self.report_step("a route map is downloaded completely", self.check_download())
+        self.report_step(
+            "a path without a service is refused with an error code",
+            self.check_unknown_path(),
+        )
+        self.report_step(
+            "a stalled backend server gets no more requests", self.check_stall()
+        )
+        self.report_step("every entry applies an edited cell", self.check_edit())
+        self.report_step("an invalid cell value is refused", self.check_invalid_edit())
         return self.failed
 
-    def check(self, what: str, problem: str) -> None:
-        """Print one step's verdict; "" is a pass."""
+    def report_step(self, description: str, problem: str) -> None:
+        """Print one step's result; an empty `problem` means that it passed."""
         verdict = "ok  " if not problem else "FAIL"
-        print(f"{verdict} {what}{': ' + problem if problem else ''}", flush=True)
+        print(f"{verdict} {description}{': ' + problem if problem else ''}", flush=True)
         self.failed += bool(problem)
 
-    def lookups(self) -> str:
-        """Ask every entry once."""
+    def check_lookups(self) -> str:
+        """Send one lookup to every entry."""
         for entry in self.fleet.entries:
             status, _, body = request(entry, "GET", "/lookup/account-7?x=1")
             if status != 200 or json.loads(body)["echo"] != "/lookup/account-7?x=1":
                 return f"{entry.name} answered {status}: {body!r}"
         return ""
 
-    def submissions(self) -> str:
+    def check_submissions(self) -> str:
         """Send one submission through two entries."""
         headers = {"Idempotency-Key": "reading-1", "X-Caller": "ana"}
         answers = [
@@ -115,35 +120,37 @@
             return f"{runs} runs, answers {answers}"
         return ""
 
-    def download(self) -> str:
+    def check_download(self) -> str:
         """Fetch a route map."""
         _, _, body = request(self.fleet.entries[0], "GET", f"/maps/{MAP_KIB}")
         is_whole = body == map_bytes(0, MAP_KIB * 1024)
-        return "" if is_whole else f"{len(body)} bytes came"
+        return "" if is_whole else f"received {len(body)} bytes"
 
-    def unknown(self) -> str:
-        """Ask for a path that no service has."""
+    def check_unknown_path(self) -> str:
+        """Request a path that no service has."""
         status, _, body = request(self.fleet.entries[0], "GET", "/nowhere")
         problem = json.loads(body)
         if status != 404 or problem["title"] != "unknown-service":
             return f"{status} {problem}"
         return ""
 
-    def stall(self) -> str:
+    def check_stall(self) -> str:
         """Stall a server and wait until requests are fast again."""
         stalled = "lookup-1"
         self.fleet.set_faults(stalled, stall=True)
         began_s = time.monotonic()
-        while time.monotonic() - began_s < STALL_FOUND_WITHIN_S:
-            with ThreadPoolExecutor(LOOKUPS_AT_ONCE) as pool:
+        while time.monotonic() - began_s < STALL_DETECTION_TIMEOUT_S:
+            with ThreadPoolExecutor(CONCURRENT_LOOKUPS) as pool:
                 slowest_s = max(pool.map(self._timed_lookup, range(LOOKUPS)))
-            if slowest_s < FAST_S:
-                found_s = time.monotonic() - began_s
+            if slowest_s < FAST_LATENCY_S:
+                detected_s = time.monotonic() - began_s
                 self.fleet.set_faults(stalled)
-                print(f"     all of {LOOKUPS} lookups fast after {found_s:.1f} s")
+                print(
+                    f"     all of {LOOKUPS} lookups were fast after {detected_s:.1f} s"
+                )
                 return ""
         self.fleet.set_faults(stalled)
-        return f"still slow after {STALL_FOUND_WITHIN_S} s"
+        return f"still slow after {STALL_DETECTION_TIMEOUT_S} s"
 
     def _timed_lookup(self, number: int) -> float:
         entry = self.fleet.entries[number % len(self.fleet.entries)]
@@ -151,29 +158,31 @@
         request(entry, "GET", "/lookup/a", headers={"Cinderway-Deadline-Ms": "2000"})
         return time.monotonic() - began_s
 
-    def edit(self) -> str:
-        """Edit a cell and wait until it is in force."""
-        before = self._revisions()
+    def check_edit(self) -> str:
+        """Edit a cell and wait until every entry applies it."""
+        before = self._read_revisions()
         self.fleet.cli("table", "set", "servers", "lookup-2", "weight", "50")
         began_s = time.monotonic()
-        while time.monotonic() - began_s < EDIT_IN_FORCE_WITHIN_S:
-            if min(self._revisions()) > max(before):
-                in_force_ms = (time.monotonic() - began_s) * 1000
-                print(f"     in force everywhere {in_force_ms:.0f} ms after the answer")
+        while time.monotonic() - began_s < EDIT_TIMEOUT_S:
+            if min(self._read_revisions()) > max(before):
+                applied_ms = (time.monotonic() - began_s) * 1000
+                print(
+                    f"     applied by all entries {applied_ms:.0f} ms after acceptance"
+                )
                 return ""
             time.sleep(0.01)
-        return f"revisions {self._revisions()}"
+        return f"revisions {self._read_revisions()}"
 
-    def _revisions(self) -> list[float]:
+    def _read_revisions(self) -> list[float]:
         return [
             self.fleet.metrics(entry)["cinderway_table_revision"]
             for entry in self.fleet.entries
         ]
 
-    def bad_edit(self) -> str:
-        """Try a value that the column does not take."""
+    def check_invalid_edit(self) -> str:
+        """Try to set a value that the column does not accept."""
         result = self.fleet.cli(
-            "table", "set", "servers", "lookup-2", "weight", "5000", check=False
+            "table", "set", "servers", "lookup-2", "weight", "5000", report_step=False
         )
         is_refused = result.returncode == 2 and "cell-invalid" in result.stderr
         return "" if is_refused else result.stdout + result.stderr
@@ -182,7 +191,7 @@
 def main() -> int:
     """Run the demo and return the exit code."""
     began_s = time.monotonic()
-    with Fleet(SERVICES, sample_servers(), HALLS, entries=4) as fleet:
+    with Fleet(SERVICES, build_servers(), HALLS, entries=4) as fleet:
         print(f"started in {time.monotonic() - began_s:.1f} s")
         failed = Demo(fleet).run()
     print(f"{'all steps passed' if not failed else f'{failed} steps failed'}")
