--- a/demo/run.py
+++ b/demo/run.py
@@ -182,7 +182,7 @@
     def check_invalid_edit(self) -> str:
         """Try to set a value that the column does not accept."""
         result = self.fleet.cli(
-            "table", "set", "servers", "lookup-2", "weight", "5000", report_step=False
+            "table", "set", "servers", "lookup-2", "weight", "5000", check=False
         )
         is_refused = result.returncode == 2 and "cell-invalid" in result.stderr
         return "" if is_refused else result.stdout + result.stderr
