--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -257,7 +257,7 @@
     def read_ejections(self, expected: set[str], since_s: float) -> Trial:
         """Evaluate the ejections in the entries' logs since a time."""
         trial = Trial()
-        seen: dict[str, dict[str, float]] = {}
+        ejected_at_s: dict[str, dict[str, float]] = {}
         for entry in self.fleet.entries:
             if entry.data_hall == self.partitioned_hall:
                 continue
@@ -267,15 +267,15 @@
                 at_s = time.mktime(time.strptime(date, "%Y-%m-%d %H:%M:%S"))
                 at_s += int(milli) / 1000
                 if at_s >= since_s:
-                    seen.setdefault(server, {}).setdefault(entry.name, at_s)
+                    ejected_at_s.setdefault(server, {}).setdefault(entry.name, at_s)
         for server in expected:
-            entries = seen.get(server, {})
+            entries = ejected_at_s.get(server, {})
             if len(entries) == len(self.fleet.entries):
                 trial.detection_s[server] = max(entries.values()) - since_s
             else:
                 trial.undetected += 1
                 trial.detection_s[server] = DETECTION_TIMEOUT_S
-        trial.wrongly_ejected = set(seen) - expected
+        trial.wrongly_ejected = set(ejected_at_s) - expected
         return trial
 
 
@@ -318,8 +318,12 @@
     wrongly = sorted(set().union(*(trial.wrongly_ejected for trial in trials_done)))
     print(json.dumps(row), *wrongly, flush=True)
     for trial in trials_done:
-        found = sorted(trial.detection_s.items(), key=lambda pair: pair[1])
-        print("   ", *(f"{name} {found_s:.2f}" for name, found_s in found), flush=True)
+        detections = sorted(trial.detection_s.items(), key=lambda pair: pair[1])
+        print(
+            "   ",
+            *(f"{name} {detected_s:.2f}" for name, detected_s in detections),
+            flush=True,
+        )
 
 
 HEADER = [
--- a/bench/slots.py
+++ b/bench/slots.py
@@ -52,7 +52,7 @@
 def read_totals(fleet: Fleet) -> dict[str, int]:
     """Return the sums of all servers' counters."""
     counts = [fleet.counts(server.name) for server in fleet.servers]
-    return {what: sum(c[what] for c in counts) for what in ("served", "shed")}
+    return {counter: sum(c[counter] for c in counts) for counter in ("served", "shed")}
 
 
 def main(arguments: list[str]) -> None:
--- a/bench/table.py
+++ b/bench/table.py
@@ -51,16 +51,16 @@
             answer = await client.call(ReadTable(), monotonic_ms() + 5000)
             current = Table()
             current.install(answer.delta)
-            seen = current.get(RowKey(Sheet.SERVERS, "lookup-0")).cell_revision(
-                "weight"
-            )
+            seen_revision = current.get(
+                RowKey(Sheet.SERVERS, "lookup-0")
+            ).cell_revision("weight")
             change = Change(
                 Action.SET,
                 Sheet.SERVERS,
                 "lookup-0",
                 "weight",
                 str(number % 99 + 1),
-                seen,
+                seen_revision,
             )
             edit = Edit(str(uuid.uuid4()), "bench", answer.sequence, [change])
             if number == kill_after:
@@ -164,8 +164,10 @@
 
 def build_weight_change(number: int, revision: int) -> Change:
     """Return a change of one cell."""
-    seen = 1 if number == 2 else revision
-    return Change(Action.SET, Sheet.SERVERS, "s1", "weight", str(number % 99 + 1), seen)
+    seen_revision = 1 if number == 2 else revision
+    return Change(
+        Action.SET, Sheet.SERVERS, "s1", "weight", str(number % 99 + 1), seen_revision
+    )
 
 
 def main(arguments: list[str]) -> None:
--- a/standins/catalog_fleet.py
+++ b/standins/catalog_fleet.py
@@ -311,7 +311,7 @@
         return (self.path / f"{name}.log").read_text()
 
 
-def wait_for(condition, what: str):
+def wait_for(condition, description: str):
     """Poll a condition and return its first true value.
 
     The timeout only keeps a failing test from hanging.
@@ -322,7 +322,7 @@
         if found:
             return found
         time.sleep(POLL_S)
-    raise AssertionError(f"timed out waiting for: {what}")
+    raise AssertionError(f"timed out waiting for: {description}")
 
 
 def _status(address: str, method: str, path: str, body: bytes = b"") -> int | None:
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -329,8 +329,8 @@
         """Return a server's counters."""
         return self._send_command(server, "counts", b"")
 
-    def _send_command(self, server: str, what: str, body: bytes) -> dict:
-        url = f"http://127.0.0.1:{self.server_ports[server]}/_standin/{what}"
+    def _send_command(self, server: str, command: str, body: bytes) -> dict:
+        url = f"http://127.0.0.1:{self.server_ports[server]}/_standin/{command}"
         with urllib.request.urlopen(url, data=body or b" ", timeout=5) as answer:
             return json.load(answer)
 
--- a/tests/system/test_catalog.py
+++ b/tests/system/test_catalog.py
@@ -223,7 +223,8 @@
         self.put_accounts(2, rate_per_s=1, burst=6)
         answers = [self.send_with_key(self.KEY, f"q{number}") for number in range(14)]
         statuses = [answer.status for answer in answers]
-        # The first three fit the replica's own share; two other replicas lend more.
+        # At least the replica's own share is granted; the two others may lend more in
+        # time.
         self.assertEqual(statuses[:3], [200] * 3)
         self.assertLessEqual(statuses.count(200), 11)
         self.assertEqual(set(statuses), {200, 429})
@@ -415,7 +416,7 @@
 
 
 class PoisonTests(CatalogCase):
-    """A poison request crashes each server that runs it; its caller repeats it."""
+    """A poison request crashes the servers that run it and is repeated at any entry."""
 
     entries = 2
 
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -48,14 +48,14 @@
         A status that no quorum confirms lists no replicas. Compared with such a list no
         later one looks replaced, and the test timed out waiting for the replacement.
         """
-        found = []
+        groups = []
 
-        def is_whole():
-            found.append(self.replica_ids())
-            return len(found[-1]) == 3
+        def has_three_replicas():
+            groups.append(self.replica_ids())
+            return len(groups[-1]) == 3
 
-        self.wait_until(is_whole, "a confirmed group")
-        return found[-1]
+        self.wait_until(has_three_replicas, "a confirmed group")
+        return groups[-1]
 
     def replica_ids(self):
         lines = [line.split() for line in self.read_status().splitlines()]
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -165,8 +165,8 @@
             "the request cancelled",
         )
 
-    def map_counts(self, what):
-        return sum(self.fleet.counts(f"maps-{n}")[what] for n in (1, 2, 3))
+    def map_counts(self, counter):
+        return sum(self.fleet.counts(f"maps-{n}")[counter] for n in (1, 2, 3))
 
     def test_drain_signal_seen_by_one_entry_reaches_all(self):
         self.fleet.set_faults("lookup-1", drain=True)
