--- a/src/cinderway/_daemon.py
+++ b/src/cinderway/_daemon.py
@@ -68,7 +68,7 @@
     node_settings = NodeSettings(
         address=settings.listen,
         peers=settings.peers,
-        compact_at_bytes=settings.compact_at_kib * 1024,
+        compaction_threshold_bytes=settings.compact_at_kib * 1024,
     )
     node = Node(folder, machine, node_settings, identity)
     async with anyio.create_task_group() as tasks:
@@ -79,7 +79,7 @@
             tasks, settings.operators_listen, _build_replica_gauges(node)
         )
         await wait_for_stop()
-        await node.hand_over()
+        await node.transfer_leadership()
         tasks.cancel_scope.cancel()
     folder.close()
 
--- a/src/cinderway/control/_catalog_daemon.py
+++ b/src/cinderway/control/_catalog_daemon.py
@@ -42,7 +42,7 @@
     heartbeat_ms=250,
     election_min_ms=900,
     election_max_ms=1_500,
-    quorum_silent_ms=900,
+    quorum_contact_timeout_ms=900,
     startup_min_ms=80,
     startup_max_ms=320,
 )
@@ -103,7 +103,7 @@
         )
         await wait_for_stop()
         logger.info("stopping")
-        await node.hand_over()
+        await node.transfer_leadership()
         tasks.cancel_scope.cancel()
     folder.close()
     logger.info("stopped")
@@ -119,7 +119,7 @@
         return
     folder = DataFolder(settings.data_folder, GROUP, settings.listen)
     if folder.is_new:
-        folder.found(b"")
+        folder.bootstrap(b"")
         logger.info("bootstrapped the group")
     else:
         folder.close()
@@ -154,9 +154,9 @@
         address=settings.listen,
         peers=_peer_addresses(settings),
         timing=TIMING,
-        compact_at_bytes=COMPACT_AT_BYTES,
+        compaction_threshold_bytes=COMPACT_AT_BYTES,
         tick_s=TICK_S,
-        wanted_voters=2 * settings.tolerated_losses + 1,
+        target_voters=2 * settings.tolerated_losses + 1,
     )
 
 
--- a/src/cinderway/control/_catalog_service.py
+++ b/src/cinderway/control/_catalog_service.py
@@ -275,7 +275,7 @@
         this way, and with it the refused requests.
         """
         while True:
-            await self.node.wait_applied()
+            await self.node.wait_for_applied_entry()
             store.apply_stored_rulings()
             for follower in self.hall.followers:
                 follower.wake()
--- a/src/cinderway/control/_daemon.py
+++ b/src/cinderway/control/_daemon.py
@@ -27,4 +27,4 @@
 def found_control(data_folder: Path, address: Address, first_revision: int) -> None:
     """Initialize a data folder as the first replica of a new control group."""
     folder = DataFolder(data_folder, GROUP, address)
-    folder.found(build_initial_snapshot(first_revision))
+    folder.bootstrap(build_initial_snapshot(first_revision))
--- a/src/cinderway/control/_service.py
+++ b/src/cinderway/control/_service.py
@@ -100,7 +100,7 @@
     async def _wait_for_revision_after(self, revision: int, wait_ms: int) -> None:
         with anyio.move_on_after(wait_ms / 1000):
             while self._machine.table.revision <= revision:
-                await self._node.wait_applied()
+                await self._node.wait_for_applied_entry()
 
     def _build_table_answer(
         self, known_revision: int, *, is_current: bool, own_revision: int = 0
--- a/src/cinderway/ledger/_daemon.py
+++ b/src/cinderway/ledger/_daemon.py
@@ -25,4 +25,4 @@
 
 def found_ledger(data_folder: Path, address: Address) -> None:
     """Initialize a data folder as the first replica of a new ledger group."""
-    DataFolder(data_folder, GROUP, address).found(b"")
+    DataFolder(data_folder, GROUP, address).bootstrap(b"")
--- a/src/cinderway/ledger/_service.py
+++ b/src/cinderway/ledger/_service.py
@@ -90,7 +90,7 @@
         ruling = self._machine.get_ruling(request.name, self._ledger_time_ms())
         with anyio.move_on_after(request.wait_ms / 1000):
             while ruling is not None and ruling.ruling is Ruling.RUNNING:
-                await self._node.wait_applied()
+                await self._node.wait_for_applied_entry()
                 ruling = self._machine.get_ruling(request.name, self._ledger_time_ms())
         return ruling or ClaimAnswer(Ruling.ATTEMPT_ABANDONED)
 
--- a/src/cinderway/replication/_core.py
+++ b/src/cinderway/replication/_core.py
@@ -63,10 +63,10 @@
         timing: Timing,
         rng: random.Random,
         now_ms: int,
-        wanted_voters: int = 0,
+        target_voters: int = 0,
     ):
         super().__init__(replica_id, address, log, hard_state, timing, now_ms)
-        self._wanted_voters = wanted_voters
+        self._target_voters = target_voters
         self._reads = LinearizableReads(self)
         self._transfer = LeadershipTransfer(self)
         self._leader_log = LeaderLog(
@@ -95,7 +95,7 @@
         """
         self._advance_clock(now_ms)
         if isinstance(message, JoinRequest):
-            self._member_changes.receive_join_request(message, self._wanted_voters)
+            self._member_changes.receive_join_request(message, self._target_voters)
             return
         if message.target != self.replica_id:
             return
@@ -114,14 +114,14 @@
                 self._elections.receive_take_over(message)
 
     def is_leader_at(self, now_ms: int) -> bool:
-        """Whether this replica leads and was not suspended past `quorum_silent_ms`.
+        """Whether this replica leads and was not suspended past the quorum timeout.
 
         After such a pause the others may have elected another leader.
         """
         return self.is_leader and not self._has_stalled(now_ms)
 
     def _has_stalled(self, now_ms: int) -> bool:
-        return now_ms - self.now_ms > self.timing.quorum_silent_ms
+        return now_ms - self.now_ms > self.timing.quorum_contact_timeout_ms
 
     def _advance_clock(self, now_ms: int) -> None:
         """Advance the clock; a leader that was suspended for too long steps down.
@@ -193,7 +193,7 @@
             return
         self._transfer.abandon_if_expired()
         self._leader_log.send_heartbeat()
-        self._member_changes.advance(self._wanted_voters)
+        self._member_changes.advance(self._target_voters)
 
     def _become_follower(self, term: int) -> None:
         self.role = Role.FOLLOWER
--- a/src/cinderway/replication/_leader_log.py
+++ b/src/cinderway/replication/_leader_log.py
@@ -68,7 +68,7 @@
     def has_quorum_contact(self) -> bool:
         """Whether a quorum was heard from recently enough to remain leader."""
         state = self._state
-        oldest_ms = state.now_ms - state.timing.quorum_silent_ms
+        oldest_ms = state.now_ms - state.timing.quorum_contact_timeout_ms
         silent = set(state.silent_since(oldest_ms))
         return is_quorum(state.membership.voters, state.progress.keys() - silent)
 
--- a/src/cinderway/replication/_member_changes.py
+++ b/src/cinderway/replication/_member_changes.py
@@ -14,7 +14,7 @@
 class MemberChanges:
     """Adds replicas to the group and removes them; only a leader makes changes.
 
-    `wanted_voters` is the intended number of voters, or 0 if none is configured.
+    `target_voters` is the intended number of voters, or 0 if none is configured.
     """
 
     def __init__(self, state: ReplicaState, leader_log: LeaderLog):
@@ -41,7 +41,7 @@
             raise _refused_error("the last voter cannot be removed")
         self._apply_membership(state.membership.without(replica_id))
 
-    def receive_join_request(self, request: JoinRequest, wanted_voters: int) -> None:
+    def receive_join_request(self, request: JoinRequest, target_voters: int) -> None:
         """Add a replica that asks to join, or forward its request to the leader."""
         state = self._state
         if not state.is_leader:
@@ -56,7 +56,7 @@
             state.progress[request.sender].next_index = 1
             return
         self._joining[request.sender] = request.address
-        self.advance(wanted_voters)
+        self.advance(target_voters)
 
     def _forward_to_leader(self, request: JoinRequest) -> None:
         state = self._state
@@ -66,7 +66,7 @@
         if leader is not None and leader.address != request.address:
             state.send_to_address(leader.address, request)
 
-    def advance(self, wanted_voters: int) -> None:
+    def advance(self, target_voters: int) -> None:
         """Make the next membership change that is due, if any."""
         if not self._can_change():
             return
@@ -74,20 +74,20 @@
             self._state.membership, self._joining, self._is_caught_up
         )
         if membership is None:
-            membership = self._without_replaced_voter(wanted_voters)
+            membership = self._without_replaced_voter(target_voters)
         if membership is not None:
             self._apply_membership(membership)
 
-    def _without_replaced_voter(self, wanted_voters: int) -> Membership | None:
+    def _without_replaced_voter(self, target_voters: int) -> Membership | None:
         """Return the membership without a silent voter that was replaced, if any.
 
         This applies only while there are more voters than wanted: a silent voter that
         has not been replaced may come back, so it keeps its vote.
         """
         state = self._state
-        if not 0 < wanted_voters < len(state.membership.voters):
+        if not 0 < target_voters < len(state.membership.voters):
             return None
-        oldest_ms = state.now_ms - state.timing.replace_silent_ms
+        oldest_ms = state.now_ms - state.timing.voter_replacement_timeout_ms
         replaced = state.membership.voters.intersection(state.silent_since(oldest_ms))
         if not replaced:
             return None
--- a/src/cinderway/replication/_node.py
+++ b/src/cinderway/replication/_node.py
@@ -63,11 +63,11 @@
     address: Address
     peers: tuple[Address, ...]
     timing: Timing = Timing()
-    compact_at_bytes: int = 4 * 1024 * 1024
+    compaction_threshold_bytes: int = 4 * 1024 * 1024
     tick_s: float = TICK_S
     # While there are more voters than this, a voter that stays silent is removed; with
     # 0 none is ever removed.
-    wanted_voters: int = 0
+    target_voters: int = 0
 
 
 @dataclass
@@ -126,7 +126,7 @@
             settings.timing,
             random.Random(),
             monotonic_ms(),
-            settings.wanted_voters,
+            settings.target_voters,
         )
         self._wake = anyio.Event()
         self._applied = anyio.Event()
@@ -213,7 +213,7 @@
             with anyio.fail_after(timeout_s):
                 await pending.done.wait()
                 while self.applied_index < pending.result:
-                    await self.wait_applied()
+                    await self.wait_for_applied_entry()
         except TimeoutError as error:
             raise self._deadline_error(
                 "no quorum confirmed the leader in time"
@@ -221,7 +221,7 @@
         finally:
             del self._pending_reads[read_id]
 
-    async def wait_applied(self) -> None:
+    async def wait_for_applied_entry(self) -> None:
         """Return when at least one more entry has been applied."""
         await self._applied.wait()
 
@@ -230,7 +230,7 @@
         self.core.remove_member(replica_id)
         self._wake.set()
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Transfer leadership to another replica, if one takes it in time."""
         with anyio.move_on_after(TRANSFER_TIMEOUT_S):
             while self.core.is_leader:
@@ -362,7 +362,7 @@
         # The log must grow at least as large as the last snapshot before the next one
         # is written, so that snapshots stay a bounded share of all bytes written.
         snapshot_bytes = len(self.core.log.snapshot.data)
-        limit_bytes = max(self.settings.compact_at_bytes, snapshot_bytes)
+        limit_bytes = max(self.settings.compaction_threshold_bytes, snapshot_bytes)
         if self.folder.wal_bytes < limit_bytes:
             return
         index = self.applied_index
--- a/src/cinderway/replication/_state.py
+++ b/src/cinderway/replication/_state.py
@@ -46,9 +46,9 @@
     startup_max_ms: int = 800
     # A leader that has not heard from a quorum for this long steps down; until then
     # its followers may still regard it as the leader.
-    quorum_silent_ms: int = 800
+    quorum_contact_timeout_ms: int = 800
     # A voter that is silent for this long may be removed once another has replaced it.
-    replace_silent_ms: int = 5_000
+    voter_replacement_timeout_ms: int = 5_000
 
 
 class ReplicaState:
--- a/src/cinderway/replication/_storage.py
+++ b/src/cinderway/replication/_storage.py
@@ -93,7 +93,7 @@
         self._remove_all_but(wal_path, recovered.log.snapshot.index)
         return recovered
 
-    def found(self, state: bytes) -> None:
+    def bootstrap(self, state: bytes) -> None:
         """Make this folder the first and only voter of a new group.
 
         `state` is the state machine's initial state, encoded as in a snapshot.
--- a/tests/entry/fleet/_modelled_control.py
+++ b/tests/entry/fleet/_modelled_control.py
@@ -56,7 +56,7 @@
     def knowledge_age_ms(self, now_ms):
         return 0
 
-    async def wait_applied(self):
+    async def wait_for_applied_entry(self):
         await self._applied.wait()
 
     async def propose(self, data, timeout_s):
--- a/tests/replication/test_core.py
+++ b/tests/replication/test_core.py
@@ -430,7 +430,7 @@
             election_max_ms=1_500,
             startup_min_ms=80,
             startup_max_ms=320,
-            quorum_silent_ms=900,
+            quorum_contact_timeout_ms=900,
         )
         replicas = {
             f"a{i}": Replica(
@@ -515,11 +515,11 @@
 
 
 class QuorumContactTest(ClusterCase):
-    """A partitioned leader steps down after `quorum_silent_ms`."""
+    """A partitioned leader steps down after `quorum_contact_timeout_ms`."""
 
     def test_it_steps_down_once_its_quorum_is_silent_for_too_long(self):
         leader = self.leader()
-        leader.core.timing = Timing(quorum_silent_ms=200)
+        leader.core.timing = Timing(quorum_contact_timeout_ms=200)
         for address in self.cluster.nodes:
             self.cluster.cuts.add((address, leader.address))
         self.run_for(340)
@@ -547,7 +547,7 @@
     def test_it_steps_down_before_it_processes_messages_from_the_pause(self):
         leader = self.leader()
         reply = self.reply_to(leader)
-        resumed_at_ms = self.cluster.now_ms + TIMING.quorum_silent_ms + 200
+        resumed_at_ms = self.cluster.now_ms + TIMING.quorum_contact_timeout_ms + 200
         self.assertFalse(leader.core.is_leader_at(resumed_at_ms))
         leader.core.step(reply, resumed_at_ms)
         self.assertFalse(leader.core.is_leader)
@@ -555,7 +555,9 @@
     def test_a_pause_too_short_for_another_election_changes_nothing(self):
         leader = self.leader()
         reply = self.reply_to(leader)
-        leader.core.step(reply, self.cluster.now_ms + TIMING.quorum_silent_ms // 2)
+        leader.core.step(
+            reply, self.cluster.now_ms + TIMING.quorum_contact_timeout_ms // 2
+        )
         self.assertTrue(leader.core.is_leader)
 
 
@@ -667,11 +669,11 @@
         self.gone = next(
             n for n in self.cluster.nodes.values() if n is not self.leader()
         )
-        self.set_wanted_voters(3)
+        self.set_target_voters(3)
 
-    def set_wanted_voters(self, voters):
+    def set_target_voters(self, voters):
         for node in self.cluster.nodes.values():
-            node.core._wanted_voters = voters
+            node.core._target_voters = voters
 
     def add_joining_node(self, contact):
         """Start a replica with an empty disk that asks `contact` to let it join."""
@@ -694,7 +696,7 @@
 
     def test_a_silent_voter_that_is_not_replaced_keeps_its_vote(self):
         self.gone.is_up = False
-        self.run_for(TIMING.replace_silent_ms + 1000)
+        self.run_for(TIMING.voter_replacement_timeout_ms + 1000)
         self.assertIn(self.gone.replica_id, self.voters())
 
     def test_a_silent_voter_is_removed_once_it_is_replaced(self):
@@ -702,13 +704,13 @@
         self.add_joining_node(self.leader())
         self.run_for(1000)
         self.assertEqual(len(self.voters()), 4)
-        self.run_for(TIMING.replace_silent_ms + 1000)
+        self.run_for(TIMING.voter_replacement_timeout_ms + 1000)
         self.assertNotIn(self.gone.replica_id, self.voters())
         self.assertIn(99, self.voters())
 
     def test_no_voter_is_removed_if_no_number_of_voters_is_configured(self):
-        self.set_wanted_voters(0)
+        self.set_target_voters(0)
         self.gone.is_up = False
         self.add_joining_node(self.leader())
-        self.run_for(TIMING.replace_silent_ms + 2000)
+        self.run_for(TIMING.voter_replacement_timeout_ms + 2000)
         self.assertEqual(len(self.voters()), 4)
--- a/tests/replication/test_node.py
+++ b/tests/replication/test_node.py
@@ -49,7 +49,7 @@
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         path = Path(temporary.name) / "data"
-        DataFolder(path, "notes", ADDRESS).found(b"")
+        DataFolder(path, "notes", ADDRESS).bootstrap(b"")
         self.folder = FailingFolder(path, "notes", ADDRESS)
         self.state_machine = RecordingStateMachine()
         settings = NodeSettings(ADDRESS, ())
@@ -98,7 +98,7 @@
         temporary = tempfile.TemporaryDirectory()
         self.addCleanup(temporary.cleanup)
         path = Path(temporary.name) / "data"
-        DataFolder(path, "notes", ADDRESS).found(b"")
+        DataFolder(path, "notes", ADDRESS).bootstrap(b"")
         self.folder = StallingFolder(path, "notes", ADDRESS)
         self.addCleanup(self.folder.is_writable.set)
         settings = NodeSettings(ADDRESS, ())
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -171,8 +171,8 @@
         self.assertNotEqual(after.identity.replica_id, old_id)
 
     def test_group_is_created_only_once(self):
-        DataFolder(self.path, "control", ADDRESS).found(b"")
+        DataFolder(self.path, "control", ADDRESS).bootstrap(b"")
         folder = DataFolder(self.path, "control", ADDRESS)
         self.addCleanup(folder.close)
         with self.assertRaises(CinderwayError):
-            folder.found(b"")
+            folder.bootstrap(b"")
