--- a/bench/_counted.py
+++ b/bench/_counted.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from cinderway import _launch
-from cinderway._settings import environment_variable_of
+from cinderway._settings import get_environment_variable
 from cinderway.wire import Conversation
 
 PACKAGE = "/src/cinderway/"
@@ -77,7 +77,7 @@
     """Run the daemon that the command line names."""
     folder, role, *arguments = sys.argv[1:]
     options = dict(zip(arguments[::2], arguments[1::2], strict=True))
-    variable = environment_variable_of("settings_file")
+    variable = get_environment_variable("settings_file")
     os.environ[variable] = options["--settings-file"]
     _count_messages()
     run = anyio.run
--- a/src/cinderway/_cli/_options.py
+++ b/src/cinderway/_cli/_options.py
@@ -12,11 +12,11 @@
 from cinderway._launch import get_exit_code
 from cinderway._settings import (
     REQUIRED,
-    environment_variable_of,
+    add_settings_file,
+    get_declarations,
+    get_environment_variable,
     get_flag,
     parse_settings,
-    settings_of,
-    with_settings_file,
 )
 
 
@@ -30,10 +30,10 @@
     def decorate(function: Callable) -> Callable:
         @functools.wraps(function)
         def command(**given: Any) -> None:
-            texts = {name: given.pop(name) for name in settings_of(settings_class)}
+            texts = {name: given.pop(name) for name in get_declarations(settings_class)}
             with exit_on_error():
                 function(
-                    parse_settings(settings_class, with_settings_file(texts)), **given
+                    parse_settings(settings_class, add_settings_file(texts)), **given
                 )
 
         own_parameters = list(inspect.signature(function).parameters.values())[1:]
@@ -63,11 +63,11 @@
 
 def _build_parameters(settings_class: type) -> list[inspect.Parameter]:
     parameters = []
-    for name, declared in settings_of(settings_class).items():
+    for name, declared in get_declarations(settings_class).items():
         default = "required" if declared.default is REQUIRED else declared.default
         option = typer.Option(
             get_flag(name),
-            envvar=environment_variable_of(name),
+            envvar=get_environment_variable(name),
             help=f"{declared.help} [{declared.allowed}; default: {default or 'none'}]",
             show_default=False,
         )
--- a/src/cinderway/_clock.py
+++ b/src/cinderway/_clock.py
@@ -34,7 +34,7 @@
 
 
 @contextmanager
-def monotonic_source(source_ns: Callable[[], int]) -> Iterator[None]:
+def override_monotonic_clock(source_ns: Callable[[], int]) -> Iterator[None]:
     """Replace the source of monotonic time, as experiments in virtual time do."""
     global _monotonic_ns
     previous, _monotonic_ns = _monotonic_ns, source_ns
--- a/src/cinderway/_daemon.py
+++ b/src/cinderway/_daemon.py
@@ -32,12 +32,12 @@
             return
 
 
-def log_start(log: logging.Logger, role: str, address: Address) -> None:
+def log_startup(log: logging.Logger, role: str, address: Address) -> None:
     """Write the first line of a process's log."""
     log.info("%s %s starts at %s", role, __version__, address)
 
 
-async def keep_running(name: str, run: Callable[[], Awaitable[None]]) -> None:
+async def run_with_restarts(name: str, run: Callable[[], Awaitable[None]]) -> None:
     """Run a background task, and restart it if it raises an unexpected exception.
 
     For tasks without which callers can still be served: an error in one of them must
@@ -75,7 +75,7 @@
         routes = (node.route, *build_routes(node))
         await tasks.start(serve_connections, settings.listen, routes, identity)
         tasks.start_soon(node.run)
-        await start_operators(
+        await start_operators_server(
             tasks, settings.operators_listen, _build_replica_gauges(node)
         )
         await wait_for_stop()
@@ -84,7 +84,7 @@
     folder.close()
 
 
-async def start_operators(
+async def start_operators_server(
     tasks: TaskGroup,
     address: Address,
     gauges: Gauges,
--- a/src/cinderway/_errors.py
+++ b/src/cinderway/_errors.py
@@ -91,7 +91,7 @@
         return f"[{self.code.value}] {self.detail} (step {self.step.value}{at_peer})"
 
 
-class RefusedForNowError(CinderwayError):
+class RetryLaterError(CinderwayError):
     """A temporary rejection: the request may be retried after `retry_after_ms`."""
 
     def __init__(
--- a/src/cinderway/_http_body.py
+++ b/src/cinderway/_http_body.py
@@ -3,7 +3,7 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 
 
-async def whole_body(receive, limit_bytes: int) -> bytes | None:
+async def read_full_body(receive, limit_bytes: int) -> bytes | None:
     """Return a request's body, or None if the client disconnected before its end.
 
     Raises CinderwayError with REQUEST_TOO_LARGE if the body exceeds the limit.
--- a/src/cinderway/_http_server.py
+++ b/src/cinderway/_http_server.py
@@ -13,7 +13,7 @@
 DEFAULT_KEEP_ALIVE_S = 30
 
 
-class QuietServer(uvicorn.Server):
+class EventDrivenServer(uvicorn.Server):
     """A uvicorn server without signal handlers and without a periodic main loop.
 
     The daemon that runs the server handles the signals. uvicorn's own main loop wakes
@@ -39,9 +39,9 @@
         self._stop_requested.set()
 
 
-def http_server(
+def build_http_server(
     address: Address, app, *, keep_alive_s: float = DEFAULT_KEEP_ALIVE_S
-) -> QuietServer:
+) -> EventDrivenServer:
     """Build a server for the application; the caller starts it with `serve`."""
     host, _, port = address.rpartition(":")
     config = uvicorn.Config(
@@ -58,14 +58,14 @@
         timeout_keep_alive=keep_alive_s,
         backlog=ACCEPT_BACKLOG,
     )
-    return QuietServer(config)
+    return EventDrivenServer(config)
 
 
 async def serve_http(
     address: Address, app, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
 ) -> None:
     """Serve an application until cancelled; reports `started` once it listens."""
-    server = http_server(address, app)
+    server = build_http_server(address, app)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve)
         while not server.started:
--- a/src/cinderway/_launch.py
+++ b/src/cinderway/_launch.py
@@ -20,10 +20,10 @@
     CatalogEntrySettings,
     EntrySettings,
     ReplicaSettings,
-    environment_variable_of,
+    add_settings_file,
+    get_declarations,
+    get_environment_variable,
     parse_settings,
-    settings_of,
-    with_settings_file,
 )
 
 EXIT_FAILED = 1
@@ -95,8 +95,8 @@
 def _read_environment(role: Role) -> dict[str, str | None]:
     """Return the environment's value, if any, for each of a role's settings."""
     return {
-        name: os.environ.get(environment_variable_of(name))
-        for name in settings_of(role.settings)
+        name: os.environ.get(get_environment_variable(name))
+        for name in get_declarations(role.settings)
     }
 
 
@@ -114,7 +114,7 @@
     _block_trio_import()
     try:
         role = _get_role(arguments[0] if arguments else "")
-        given = with_settings_file(_read_environment(role))
+        given = add_settings_file(_read_environment(role))
         run_daemon(role.run, parse_settings(role.settings, given))
     except CinderwayError as error:
         print(f"cinderway: {error}", file=sys.stderr)
--- a/src/cinderway/_settings/__init__.py
+++ b/src/cinderway/_settings/__init__.py
@@ -12,16 +12,16 @@
     ENVIRONMENT_PREFIX,
     REQUIRED,
     Setting,
-    environment_variable_of,
+    get_declarations,
+    get_environment_variable,
     get_flag,
     parse_settings,
     setting,
-    settings_of,
 )
 from cinderway._settings._file import (
-    changed_settings,
+    add_settings_file,
+    apply_settings_changes,
     read_settings_file,
-    with_settings_file,
 )
 from cinderway._settings._parsers import SHARED_KEY_MIN_CHARACTERS
 from cinderway._settings._table_roles import (
@@ -40,12 +40,12 @@
     "OperatorSettings",
     "ReplicaSettings",
     "Setting",
-    "changed_settings",
-    "environment_variable_of",
+    "apply_settings_changes",
+    "get_environment_variable",
     "get_flag",
     "parse_settings",
     "read_settings_file",
     "setting",
-    "settings_of",
-    "with_settings_file",
+    "get_declarations",
+    "add_settings_file",
 ]
--- a/src/cinderway/_settings/_declaration.py
+++ b/src/cinderway/_settings/_declaration.py
@@ -39,7 +39,7 @@
     )
 
 
-def settings_of(settings_class: type) -> dict[str, Setting]:
+def get_declarations(settings_class: type) -> dict[str, Setting]:
     """Return the declarations of a settings class by field name."""
     return {f.name: f.metadata["setting"] for f in dataclasses.fields(settings_class)}
 
@@ -49,7 +49,7 @@
     return "--" + name.replace("_", "-")
 
 
-def environment_variable_of(name: str) -> str:
+def get_environment_variable(name: str) -> str:
     """Return the environment variable of a setting."""
     return ENVIRONMENT_PREFIX + name.upper()
 
@@ -61,7 +61,7 @@
     message names the given text and the allowed ones.
     """
     values = {}
-    for name, declared in settings_of(settings_class).items():
+    for name, declared in get_declarations(settings_class).items():
         text = given.get(name)
         if text is None:
             text = declared.default
@@ -87,7 +87,7 @@
 def _build_invalid_error(name: str, given: str, allowed: str) -> CinderwayError:
     return CinderwayError(
         ErrorCode.SETTING_INVALID,
-        f"{get_flag(name)} ({environment_variable_of(name)}): "
+        f"{get_flag(name)} ({get_environment_variable(name)}): "
         f"given {given}; allowed: {allowed}",
         step=Step.START,
     )
--- a/src/cinderway/_settings/_file.py
+++ b/src/cinderway/_settings/_file.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from cinderway._errors import CinderwayError, ErrorCode, Step
-from cinderway._settings._declaration import parse_setting, settings_of
+from cinderway._settings._declaration import get_declarations, parse_setting
 
 
-def with_settings_file(given: dict[str, str | None]) -> dict[str, str | None]:
+def add_settings_file(given: dict[str, str | None]) -> dict[str, str | None]:
     """Add the values from the settings file, if `given` names one.
 
     Flags and environment variables take precedence over the file. Raises CinderwayError
@@ -39,13 +39,13 @@
     return {name: _format_value(value) for name, value in content.items()}
 
 
-def changed_settings(settings: Any, texts: dict[str, str]) -> Any:
+def apply_settings_changes(settings: Any, texts: dict[str, str]) -> Any:
     """Return a copy of the settings with the values from a changed file.
 
     Raises CinderwayError with SETTING_INVALID if one of the values is invalid.
     """
     values = {}
-    for name, declared in settings_of(type(settings)).items():
+    for name, declared in get_declarations(type(settings)).items():
         if name in texts:
             values[name] = parse_setting(name, declared, texts[name])
     return dataclasses.replace(settings, **values)
--- a/src/cinderway/_settings_watch.py
+++ b/src/cinderway/_settings_watch.py
@@ -13,7 +13,7 @@
 import anyio
 
 from cinderway._errors import CinderwayError
-from cinderway._settings import changed_settings, read_settings_file
+from cinderway._settings import apply_settings_changes, read_settings_file
 
 logger = logging.getLogger(__name__)
 
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 2.0
 
 
-class SettingsWatch:
+class SettingsWatcher:
     """Watches the settings file of a process, if it has one.
 
     If the file cannot be read or is invalid, the current settings stay in force. Each
@@ -57,7 +57,7 @@
             texts = read_settings_file(self._path)
             if texts == self._texts:
                 return
-            settings = changed_settings(self._settings, texts)
+            settings = apply_settings_changes(self._settings, texts)
         except CinderwayError as error:
             if self._last_reported_error != str(error):
                 logger.warning("keeping the current settings: %s", error)
--- a/src/cinderway/catalog/_compression.py
+++ b/src/cinderway/catalog/_compression.py
@@ -18,5 +18,5 @@
 
 
 def decompress_sheet(packed: bytes) -> bytes:
-    """Return the text that `pack` compressed to these bytes."""
+    """Return the text that `compress_sheet` compressed to these bytes."""
     return zlib.decompress(packed)
--- a/src/cinderway/control/_catalog_daemon.py
+++ b/src/cinderway/control/_catalog_daemon.py
@@ -9,15 +9,15 @@
 import anyio
 
 from cinderway._daemon import (
-    log_start,
-    start_operators,
+    log_startup,
+    start_operators_server,
     wait_for_stop,
 )
 from cinderway._http_server import serve_http
 from cinderway._ids import Address
 from cinderway._logging import configure_logging
 from cinderway._settings import CatalogControlSettings
-from cinderway._settings_watch import SettingsWatch
+from cinderway._settings_watch import SettingsWatcher
 from cinderway.catalog import AnnounceReplica, CatalogMachine
 from cinderway.control._account_tokens import VotingStatus
 from cinderway.control._allowances import Allowances
@@ -59,7 +59,7 @@
 async def run_catalog_control(settings: CatalogControlSettings) -> None:
     """Run one replica until it is told to stop; it transfers leadership before."""
     configure_logging(settings.log_format, settings.log_level)
-    log_start(logger, "catalog control", settings.listen)
+    log_startup(logger, "catalog control", settings.listen)
     identity = Identity(f"{GROUP}@{settings.listen}", settings.shared_key)
     machine = CatalogMachine()
     _bootstrap_if_first(settings)
@@ -92,13 +92,13 @@
     async with anyio.create_task_group() as tasks:
         routes = (node.route, service.route)
         await tasks.start(serve_connections, settings.listen, routes, identity)
-        watch = SettingsWatch(settings, lambda new: _apply_seeds(node, new))
+        watch = SettingsWatcher(settings, lambda new: _apply_seeds(node, new))
         tasks.start_soon(watch.run)
         tasks.start_soon(node.run)
         tasks.start_soon(service.run)
         http = CatalogHttp(service)
         await tasks.start(serve_http, settings.http_listen, http)
-        await start_operators(
+        await start_operators_server(
             tasks, settings.operators_listen, lambda: _gauges(node, service, http)
         )
         await wait_for_stop()
--- a/src/cinderway/control/_catalog_http.py
+++ b/src/cinderway/control/_catalog_http.py
@@ -20,7 +20,7 @@
 
 from cinderway._clock import monotonic_ms
 from cinderway._errors import CinderwayError, ErrorCode, Step
-from cinderway._http_body import whole_body
+from cinderway._http_body import read_full_body
 from cinderway._ids import RequestDigest, ServerName
 from cinderway.catalog import (
     ACCOUNTS_PATH,
@@ -232,7 +232,7 @@
 
 
 async def _read_body(receive, limit_bytes: int) -> bytes:
-    body = await whole_body(receive, limit_bytes)
+    body = await read_full_body(receive, limit_bytes)
     if body is None:
         raise CinderwayError(
             ErrorCode.PEER_UNREACHABLE,
--- a/src/cinderway/entry/_catalog_daemon.py
+++ b/src/cinderway/entry/_catalog_daemon.py
@@ -10,12 +10,12 @@
 import anyio
 
 from cinderway._clock import monotonic_ms
-from cinderway._daemon import keep_running, log_start, wait_for_stop
-from cinderway._http_server import QuietServer, http_server
+from cinderway._daemon import log_startup, run_with_restarts, wait_for_stop
+from cinderway._http_server import EventDrivenServer, build_http_server
 from cinderway._logging import configure_logging
 from cinderway._operators import Metrics, serve_operators
 from cinderway._settings import CatalogEntrySettings
-from cinderway._settings_watch import SettingsWatch
+from cinderway._settings_watch import SettingsWatcher
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry._catalog_board import CatalogBoard
 from cinderway.entry.callers._attempts import Attempts
@@ -44,7 +44,7 @@
 async def run_catalog_entry(settings: CatalogEntrySettings) -> None:
     """Run an entry until it is asked to stop; requests in flight finish first."""
     configure_logging(settings.log_format, settings.log_level)
-    log_start(logger, f"entry {settings.name}", settings.callers_listen)
+    log_startup(logger, f"entry {settings.name}", settings.callers_listen)
     names = header_names(settings)
     evidence = EvidenceLog()
     board = Blackboard(settings.name, settings.data_hall, random.Random())
@@ -64,11 +64,13 @@
     handler = RouteHandler(
         state, attempts, names, metrics, follower.allowances, digests
     )
-    server = http_server(settings.callers_listen, handler, keep_alive_s=KEEP_ALIVE_S)
+    server = build_http_server(
+        settings.callers_listen, handler, keep_alive_s=KEEP_ALIVE_S
+    )
     async with anyio.create_task_group() as tasks:
-        watch = SettingsWatch(settings, follower.apply_settings)
+        watch = SettingsWatcher(settings, follower.apply_settings)
         tasks.start_soon(watch.run)
-        tasks.start_soon(keep_running, "catalog follower", follower.run)
+        tasks.start_soon(run_with_restarts, "catalog follower", follower.run)
         if settings.peers_listen:
             peers = HallPeers(
                 state,
@@ -77,7 +79,7 @@
                 lambda: not follower.is_following,
                 follower.wait_disconnected,
             )
-            tasks.start_soon(keep_running, "hall peers", peers.run)
+            tasks.start_soon(run_with_restarts, "hall peers", peers.run)
         await tasks.start(
             serve_operators,
             settings.operators_listen,
@@ -111,7 +113,7 @@
 
 
 async def _drain(
-    settings: CatalogEntrySettings, board: Blackboard, server: QuietServer
+    settings: CatalogEntrySettings, board: Blackboard, server: EventDrivenServer
 ) -> None:
     """Stop without interrupting a request.
 
--- a/src/cinderway/entry/_daemon.py
+++ b/src/cinderway/entry/_daemon.py
@@ -5,8 +5,8 @@
 
 import anyio
 
-from cinderway._daemon import keep_running, wait_for_stop
-from cinderway._http_server import QuietServer, http_server
+from cinderway._daemon import run_with_restarts, wait_for_stop
+from cinderway._http_server import EventDrivenServer, build_http_server
 from cinderway._logging import configure_logging
 from cinderway._operators import Metrics, serve_operators
 from cinderway._settings import EntrySettings
@@ -78,11 +78,11 @@
         routes = (follower.route, assessor.route, reports.route)
         await tasks.start(serve_connections, settings.listen, routes, identity)
         follower.start()
-        tasks.start_soon(keep_running, "assessor", assessor.run)
-        tasks.start_soon(keep_running, "reporter", reporter.run)
-        tasks.start_soon(keep_running, "prober", prober.run)
+        tasks.start_soon(run_with_restarts, "assessor", assessor.run)
+        tasks.start_soon(run_with_restarts, "reporter", reporter.run)
+        tasks.start_soon(run_with_restarts, "prober", prober.run)
         platform = PlatformReader(board, settings.platform_list)
-        tasks.start_soon(keep_running, "platform reader", platform.run)
+        tasks.start_soon(run_with_restarts, "platform reader", platform.run)
         await tasks.start(
             serve_operators,
             settings.operators_listen,
@@ -90,7 +90,7 @@
             lambda: board.is_table_trusted and not board.is_leaving,
             metrics,
         )
-        server = http_server(
+        server = build_http_server(
             settings.callers_listen, handler, keep_alive_s=KEEP_ALIVE_S
         )
         tasks.start_soon(server.serve)
@@ -103,7 +103,7 @@
 async def _drain(
     settings: EntrySettings,
     board: Blackboard,
-    server: QuietServer,
+    server: EventDrivenServer,
     run_once: RunOnce,
 ) -> None:
     """Stop without interrupting a request.
--- a/src/cinderway/entry/callers/_answers.py
+++ b/src/cinderway/entry/callers/_answers.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError
+from cinderway._errors import CinderwayError, ErrorCode, RetryLaterError
 from cinderway.ledger import Resolution
 
 OUTCOME_HEADER = b"cinderway-outcome"
@@ -106,7 +106,7 @@
 
 
 def _retry_after_s(error: CinderwayError) -> float:
-    if isinstance(error, RefusedForNowError):
+    if isinstance(error, RetryLaterError):
         return error.retry_after_ms / 1000
     return DEFAULT_RETRY_AFTER_S
 
--- a/src/cinderway/entry/callers/_poison_permit.py
+++ b/src/cinderway/entry/callers/_poison_permit.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from cinderway._clock import monotonic_ms
-from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
+from cinderway._errors import CinderwayError, ErrorCode, RetryLaterError, Step
 from cinderway._ids import AttemptId, RequestDigest, ServerName
 from cinderway._operators import Metrics
 from cinderway.entry._poison_watch import PoisonWatch
@@ -17,7 +17,7 @@
 UNKNOWN_DIGEST = RequestDigest(b"")
 
 
-class PoisonError(RefusedForNowError):
+class PoisonError(RetryLaterError):
     """The request is refused for now, because servers end while they run it."""
 
     def __init__(self, ruling: Ruling, now_ms: int):
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -7,7 +7,7 @@
 import anyio.to_thread
 import xxhash
 
-from cinderway._http_body import whole_body
+from cinderway._http_body import read_full_body
 from cinderway._ids import (
     AccountName,
     AttemptId,
@@ -204,7 +204,7 @@
     Raises CinderwayError with REQUEST_TOO_LARGE if it exceeds the limit, and
     CallerDisconnectedError if the caller disconnects before its end.
     """
-    body = await whole_body(receive, limit_bytes)
+    body = await read_full_body(receive, limit_bytes)
     if body is None:
         raise CallerDisconnectedError
     return body
--- a/src/cinderway/entry/callers/_route_handler.py
+++ b/src/cinderway/entry/callers/_route_handler.py
@@ -11,7 +11,7 @@
 import anyio
 
 from cinderway._clock import monotonic_ms
-from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
+from cinderway._errors import CinderwayError, ErrorCode, RetryLaterError, Step
 from cinderway._ids import (
     AttemptId,
     CallerName,
@@ -125,7 +125,7 @@
         self, reply: Reply, error: CinderwayError, outcome: Resolution
     ) -> None:
         after_s = compute_retry_after_s(error.code, self.state.board.rng.random())
-        if isinstance(error, RefusedForNowError):
+        if isinstance(error, RetryLaterError):
             after_s += error.retry_after_ms / 1000
         await reply.send_problem(build_problem_answer(error, outcome, after_s))
 
--- a/src/cinderway/entry/fleet/_allowances.py
+++ b/src/cinderway/entry/fleet/_allowances.py
@@ -12,7 +12,7 @@
 import anyio
 
 from cinderway._clock import monotonic_ms
-from cinderway._errors import ErrorCode, RefusedForNowError, Step
+from cinderway._errors import ErrorCode, RetryLaterError, Step
 from cinderway._ids import AccountName
 from cinderway.catalog import (
     AccountRow,
@@ -33,7 +33,7 @@
 AskReplica = Callable[[AskAllowances, float], Awaitable[GrantAllowances | None]]
 
 
-class AllowanceError(RefusedForNowError):
+class AllowanceError(RetryLaterError):
     """The account may not send this request now; says when to retry."""
 
     def __init__(self, code: ErrorCode, detail: str, retry_after_ms: int):
--- a/src/cinderway/entry/servers/_send_checks.py
+++ b/src/cinderway/entry/servers/_send_checks.py
@@ -4,7 +4,7 @@
 waited for a slot or a connection, and probes.
 """
 
-from cinderway._errors import CinderwayError, ErrorCode, RefusedForNowError, Step
+from cinderway._errors import CinderwayError, ErrorCode, RetryLaterError, Step
 from cinderway.entry._blackboard import ServerState, ServiceState
 from cinderway.pushback import RateToken
 
@@ -60,7 +60,7 @@
 
 def check_pushback(
     service: ServiceState, now_ms: int, give_up_at_ms: float, waiting: int
-) -> RefusedForNowError | None:
+) -> RetryLaterError | None:
     """Return the rejection if no server can accept a request by `give_up_at_ms`.
 
     Such a request is rejected at once, with a retry-after time. This is the case if
@@ -81,7 +81,7 @@
         return None
     retry_after_ms = min(server.pushback.retry_after_ms(now_ms) for server in available)
     limited_count = sum(server.pushback.is_limited(now_ms) for server in available)
-    return RefusedForNowError(
+    return RetryLaterError(
         ErrorCode.BACKEND_LIMITED if limited_count else ErrorCode.BACKEND_RESTS,
         f"all {len(available)} backend servers of {service.row.name} requested backoff "
         f"or have a rate limit ({limited_count} of them), and {waiting} requests are "
--- a/src/cinderway/experiment/_virtual_time.py
+++ b/src/cinderway/experiment/_virtual_time.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from cinderway._clock import monotonic_source
+from cinderway._clock import override_monotonic_clock
 
 NS_PER_S = 1_000_000_000
 # Far from zero, so that a timestamp of 0 lies well in the past, as it does on a real
@@ -52,7 +52,7 @@
         loops.append(_VirtualLoop())
         return loops[-1]
 
-    with monotonic_source(lambda: round(loops[-1].time() * NS_PER_S)):
+    with override_monotonic_clock(lambda: round(loops[-1].time() * NS_PER_S)):
         return anyio.run(main, *args, backend_options={"loop_factory": make_loop})
 
 
--- a/tests/_cli/test_cli.py
+++ b/tests/_cli/test_cli.py
@@ -10,9 +10,9 @@
     EntrySettings,
     OperatorSettings,
     ReplicaSettings,
-    environment_variable_of,
+    get_declarations,
+    get_environment_variable,
     parse_settings,
-    settings_of,
 )
 
 KEY = "a-key-of-the-fleet"
@@ -27,7 +27,7 @@
 
 
 def run_command(*arguments, **environment):
-    variables = {environment_variable_of(k): v for k, v in environment.items()}
+    variables = {get_environment_variable(k): v for k, v in environment.items()}
     return CliRunner().invoke(app, arguments, env=variables)
 
 
@@ -56,7 +56,7 @@
 
     def test_each_default_is_valid(self):
         for kind in (EntrySettings, ReplicaSettings, OperatorSettings):
-            for name, declared in settings_of(kind).items():
+            for name, declared in get_declarations(kind).items():
                 if isinstance(declared.default, str):
                     with self.subTest(name):
                         declared.parse(declared.default)
--- a/tests/entry/callers/test_relay.py
+++ b/tests/entry/callers/test_relay.py
@@ -17,7 +17,7 @@
     return BackendAnswer(status, pairs, None, None)
 
 
-def whole_body(etag=b'"m"', length=b"1000"):
+def read_full_body(etag=b'"m"', length=b"1000"):
     return answer(etag=etag, content_length=length)
 
 
@@ -40,7 +40,7 @@
 class DownloadTest(unittest.TestCase):
     @given(st.integers(1, 999))
     def test_the_rest_is_requested_by_range_and_etag(self, sent):
-        download = Download(whole_body())
+        download = Download(read_full_body())
         download.sent_bytes = sent
         headers = dict(download.build_resume_request(REQUEST).headers)
         self.assertEqual(headers[b"range"], b"bytes=%d-999" % sent)
@@ -54,13 +54,13 @@
         self.assertEqual(headers[b"range"], b"bytes=140-199")
 
     def test_an_answer_with_a_weak_etag_cannot_be_resumed(self):
-        self.assertFalse(Download(whole_body(etag=b'W/"m"')).is_resumable)
+        self.assertFalse(Download(read_full_body(etag=b'W/"m"')).is_resumable)
 
     def test_an_answer_without_a_length_cannot_be_resumed(self):
         self.assertFalse(Download(answer(etag=b'"m"')).is_resumable)
 
     def test_the_rest_of_another_version_is_not_a_continuation(self):
-        download = Download(whole_body())
+        download = Download(read_full_body())
         download.sent_bytes = 500
         rest = {"content_range": b"bytes 500-999/1000"}
         self.assertTrue(download.can_continue_with(answer(206, etag=b'"m"', **rest)))
@@ -69,6 +69,6 @@
         )
 
     def test_a_whole_body_is_not_a_continuation(self):
-        download = Download(whole_body())
+        download = Download(read_full_body())
         download.sent_bytes = 500
-        self.assertFalse(download.can_continue_with(whole_body()))
+        self.assertFalse(download.can_continue_with(read_full_body()))
--- a/tests/entry/test_catalog_board.py
+++ b/tests/entry/test_catalog_board.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from cinderway._clock import monotonic_ms, monotonic_source
+from cinderway._clock import monotonic_ms, override_monotonic_clock
 from cinderway._ids import Address, DataHall, EntryName, ServerName, ServiceName
 from cinderway.catalog import (
     NO_LOAD,
@@ -154,7 +154,7 @@
 
     def setUp(self):
         # The clock does not advance.
-        self.enterContext(monotonic_source(lambda: 1_000_000_000_000))
+        self.enterContext(override_monotonic_clock(lambda: 1_000_000_000_000))
         board = Blackboard(EntryName("e1"), SUVA, random.Random(1))
         self.state = CatalogBoard(board, EvidenceLog(), lone_retry_percent=5)
         self.state.install(catalog(["a", "b"]).update_since(0), now_ms=0)
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -8,8 +8,8 @@
 from cinderway._settings import (
     CatalogControlSettings,
     CatalogEntrySettings,
+    get_declarations,
     parse_settings,
-    settings_of,
 )
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -68,7 +68,7 @@
         ):
             with self.subTest(template):
                 values = filled(template)
-                self.assertEqual(values.keys() - settings_of(kind).keys(), set())
+                self.assertEqual(values.keys() - get_declarations(kind).keys(), set())
                 parse_settings(kind, texts_of(values))
 
     def test_roles_start_commands_with_a_template_that_is_there(self):
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -9,11 +9,11 @@
 from cinderway._errors import CinderwayError
 from cinderway._settings import (
     CatalogEntrySettings,
+    add_settings_file,
     parse_settings,
     read_settings_file,
-    with_settings_file,
 )
-from cinderway._settings_watch import SettingsWatch
+from cinderway._settings_watch import SettingsWatcher
 from standins.catalog_fleet import CatalogFleet, wait_for
 
 GIVEN = {
@@ -41,14 +41,14 @@
     def settings(self):
         given = dict.fromkeys(CatalogEntrySettings.__dataclass_fields__)
         given["settings_file"] = str(self.path)
-        return parse_settings(CatalogEntrySettings, with_settings_file(given))
+        return parse_settings(CatalogEntrySettings, add_settings_file(given))
 
     def watch(self):
-        return SettingsWatch(self.settings(), self.applied.append)
+        return SettingsWatcher(self.settings(), self.applied.append)
 
     def test_flags_take_precedence_over_the_file(self):
         given = {"settings_file": str(self.path), "name": "other", "data_hall": None}
-        completed = with_settings_file(given)
+        completed = add_settings_file(given)
         self.assertEqual((completed["name"], completed["data_hall"]), ("other", "suva"))
 
     def test_lists_and_booleans_are_read_from_toml(self):
