--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -21,7 +21,7 @@
 from cinderway._ids import DataHall, ServiceName
 from cinderway.catalog import RouteKind
 from cinderway.entry._limit_watch import LimitWatch
-from cinderway.experiment import Outcome, by_route, play
+from cinderway.experiment import Outcome, group_by_route, play
 from cinderway.experiment._declaration import (
     Experiment,
     Fault,
@@ -32,7 +32,7 @@
 from cinderway.pushback import RateTokenBucket, _store
 
 SERVICE = ServiceName("payout-desk")
-NAMED_AT_MS = 3_500
+ADVERTISED_AT_MS = 3_500
 SETTLED_MS = 3_000
 WINDOW_MS = 4_000
 PROCESSES = 2
@@ -93,7 +93,7 @@
         faults=[
             Fault(
                 kind=FaultKind.LIMITED_SERVERS,
-                at_ms=NAMED_AT_MS,
+                at_ms=ADVERTISED_AT_MS,
                 for_ms=600_000,
                 share=share,
                 factor=rate_per_s,
@@ -178,12 +178,12 @@
     worst, used, taken = 0.0, 0, 0.0
     for played in plays:
         for server in played.limited_servers:
-            from_ms = server.named_at_ms + SETTLED_MS
+            from_ms = server.limited_since_ms + SETTLED_MS
             bears = 1.5 * server.limit_per_s * WINDOW_MS / 1000 + 5
-            worst = max(worst, server.most_in(WINDOW_MS, from_ms) / bears)
+            worst = max(worst, server.count_most_in_window(WINDOW_MS, from_ms) / bears)
             used += sum(from_ms <= at < length_ms for at in server.arrivals_ms)
             taken += server.limit_per_s * (length_ms - from_ms) / 1000
-    route = by_route(plays)[0]
+    route = group_by_route(plays)[0]
     return [
         fleet,
         limit,
--- a/src/cinderway/_cli/_experiment.py
+++ b/src/cinderway/_cli/_experiment.py
@@ -23,7 +23,13 @@
 ) -> None:
     """Run an experiment in virtual time and print the outcomes of callers' requests."""
     # Imported here because daemons started from the command line load this module, too.
-    from cinderway.experiment import draw, play, read_experiment, table_of, write_csv
+    from cinderway.experiment import (
+        format_table,
+        play,
+        read_experiment,
+        write_csv,
+        write_plot,
+    )
 
     with exit_on_error():
         experiment_to_run = read_experiment(declaration)
@@ -31,8 +37,8 @@
         with ProcessPoolExecutor(min(plays, MAX_PARALLEL_RUNS)) as processes:
             results = list(processes.map(play, repeat(experiment_to_run), seeds))
         print(f"{experiment_to_run.name}, seeds {seeds[0]} to {seeds[-1]}")
-        print(table_of(results))
+        print(format_table(results))
         if csv is not None:
             write_csv(results, csv)
         if plot is not None:
-            draw(results, plot)
+            write_plot(results, plot)
--- a/src/cinderway/_cli/_report.py
+++ b/src/cinderway/_cli/_report.py
@@ -13,20 +13,20 @@
 from cinderway._errors import CinderwayError, ErrorCode, Step
 from cinderway._settings import OperatorSettings
 from cinderway.reports import (
-    GAPS_MS,
+    GAP_BOUNDS_MS,
     REPORT,
     WINDOWS_S,
     EjectionsAnswer,
-    Followed,
+    FollowingOutcomes,
     LevelsAnswer,
     ReadEjections,
     ReadLevels,
     RequestLine,
     ServerRun,
+    aggregate_losses,
     burn_rate,
-    losses_of,
     parse_request_line,
-    parse_run,
+    parse_server_run,
     runs_by_service,
 )
 from cinderway.table import TABLE, ReadStatus
@@ -37,7 +37,7 @@
 # The burn rate at which a bar has full length: it uses up the error budget of 30 days
 # in about two.
 FULL_BAR_RATE = 14.4
-GAP_LABELS = [f"under {ms / 1000:g} s" for ms in GAPS_MS] + ["later"]
+GAP_LABELS = [f"under {ms / 1000:g} s" for ms in GAP_BOUNDS_MS] + ["later"]
 WINDOW_LABELS = {300: "5 min", 3600: "1 h", 21600: "6 h", 259200: "3 days"}
 
 report = typer.Typer(help="What the entries have observed.", no_args_is_help=True)
@@ -103,11 +103,12 @@
     ] = 8,
 ) -> None:
     """Print from entries' logs why requests were not answered, by service."""
-    for service, stats in sorted(losses_of(_request_lines(logs)).items()):
+    for service, stats in sorted(aggregate_losses(_request_lines(logs)).items()):
         print(
             f"{service}: {len(stats.answered_ms)} answered, half of them within "
-            f"{stats.time_ms(50):.0f} ms and 95 of 100 within {stats.time_ms(95):.0f} "
-            f"ms; {stats.lost} not answered ({stats.lost_percent:.1f}%)"
+            f"{stats.duration_percentile_ms(50):.0f} ms and 95 of 100 within "
+            f"{stats.duration_percentile_ms(95):.0f} ms; "
+            f"{stats.lost_count} not answered ({stats.lost_percent:.1f}%)"
         )
         for reason, count in stats.reasons.most_common(most):
             print(f"  {count:6} {reason}")
@@ -126,33 +127,33 @@
 
     All logs are evaluated together. Only requests that went to a single server count.
     """
-    services = runs_by_service(filter(None, map(parse_run, _log_lines(logs))))
+    services = runs_by_service(filter(None, map(parse_server_run, _log_lines(logs))))
     for name, service in sorted(services.items()):
         if server is not None:
             _print_runs(service.runs.get(server, []))
             continue
         runs = sum(map(len, service.runs.values()))
         print(f"{name}: {runs} requests at {len(service.runs)} servers")
-        print(f"  {'first request seen':34}{_format_followed(service.first)}")
-        for (is_good, gap), followed in sorted(service.followed.items()):
-            outcome = "a good answer" if is_good else "a failure"
+        print(f"  {'first request seen':34}{_format_following(service.first)}")
+        for (is_answered, gap), following in sorted(service.following.items()):
+            outcome = "a good answer" if is_answered else "a failure"
             print(
                 f"  {f'{GAP_LABELS[gap]} after {outcome}':34}"
-                f"{_format_followed(followed)}"
+                f"{_format_following(following)}"
             )
 
 
-def _format_followed(followed: Followed) -> str:
+def _format_following(following: FollowingOutcomes) -> str:
     return (
-        f"{followed.count:6}, {followed.failed:5} failed "
-        f"({followed.failed_percent:.0f}%)"
+        f"{following.count:6}, {following.failed:5} failed "
+        f"({following.failed_percent:.0f}%)"
     )
 
 
 def _print_runs(runs: list[ServerRun]) -> None:
     for run in runs:
         since_first_ms = run.began_at_ms - runs[0].began_at_ms
-        outcome = "answered" if run.is_good else "failed"
+        outcome = "answered" if run.is_answered else "failed"
         elapsed_ms = run.ended_at_ms - run.began_at_ms
         print(f"{since_first_ms / 1000:9.3f} s  {outcome} in {elapsed_ms} ms")
 
--- a/src/cinderway/entry/callers/_request_record.py
+++ b/src/cinderway/entry/callers/_request_record.py
@@ -6,7 +6,7 @@
 from cinderway.entry.callers._permits import RequestPermit
 from cinderway.entry.callers._requests import CallerRequest
 from cinderway.reports import RequestLine
-from cinderway.reports._request_line import NONE
+from cinderway.reports._request_line import NO_VALUE
 
 
 class RequestRecord:
@@ -33,8 +33,8 @@
 
     @property
     def route_name(self) -> str:
-        """The route's name; NONE if no route matches."""
-        return self.route.name if self.route else NONE
+        """The route's name; NO_VALUE if no route matches."""
+        return self.route.name if self.route else NO_VALUE
 
     def build_log_line(
         self, outcome: str, duration_ms: int, revision: int, age_ms: int
@@ -45,9 +45,9 @@
             outcome=outcome,
             duration_ms=duration_ms,
             route=self.route_name,
-            service=self.service or NONE,
+            service=self.service or NO_VALUE,
             servers=tuple(self.request.tried_servers) if self.request else (),
             revision=revision,
             age_ms=age_ms,
-            account=self.account_name or NONE,
+            account=self.account_name or NO_VALUE,
         )
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -11,10 +11,10 @@
     EjectionEvent,
     EjectionsAnswer,
     EventKind,
-    LevelCounter,
     LevelsAnswer,
     ReadLevels,
     ServiceLevel,
+    ServiceLevelCounter,
     WindowCount,
 )
 from cinderway.wire import Connection, Message, Route, serve_calls
@@ -37,7 +37,7 @@
 
     def __init__(self, board: Blackboard):
         self._board = board
-        self._levels: dict[ServiceName, LevelCounter] = {}
+        self._levels: dict[ServiceName, ServiceLevelCounter] = {}
         self._events: deque[_Event] = deque(maxlen=MAX_EVENTS)
 
     @property
@@ -49,8 +49,8 @@
         """Record a request that met or missed its service's objective."""
         counter = self._levels.get(service)
         if counter is None:
-            counter = self._levels[service] = LevelCounter()
-        counter.count(is_missed, monotonic_ms())
+            counter = self._levels[service] = ServiceLevelCounter()
+        counter.record_request(is_missed, monotonic_ms())
 
     def record_event(
         self,
@@ -92,7 +92,7 @@
                 continue
             windows = [
                 WindowCount(window_s, requests, missed)
-                for window_s, (requests, missed) in counter.read(now_ms).items()
+                for window_s, (requests, missed) in counter.read_counts(now_ms).items()
             ]
             levels.append(ServiceLevel(name, state.row.objective_percent, windows))
         return levels
--- a/src/cinderway/experiment/__init__.py
+++ b/src/cinderway/experiment/__init__.py
@@ -9,7 +9,12 @@
 
 from cinderway.experiment._callers import Outcome, RequestResult
 from cinderway.experiment._declaration import Experiment, read_experiment
-from cinderway.experiment._result import by_route, draw, table_of, write_csv
+from cinderway.experiment._result import (
+    format_table,
+    group_by_route,
+    write_csv,
+    write_plot,
+)
 from cinderway.experiment._run import PlayResult, play
 
 __all__ = [
@@ -17,10 +22,10 @@
     "Outcome",
     "PlayResult",
     "RequestResult",
-    "by_route",
-    "draw",
+    "format_table",
+    "group_by_route",
     "play",
     "read_experiment",
-    "table_of",
     "write_csv",
+    "write_plot",
 ]
--- a/src/cinderway/experiment/_result.py
+++ b/src/cinderway/experiment/_result.py
@@ -65,7 +65,7 @@
         return self.share(Outcome.IN_TIME) + late * self.share(Outcome.LATE)
 
 
-def by_route(plays: Iterable[PlayResult]) -> list[RouteResult]:
+def group_by_route(plays: Iterable[PlayResult]) -> list[RouteResult]:
     """Aggregate several plays of one experiment by route."""
     route_results: dict[str, RouteResult] = {}
     for play_result in plays:
@@ -76,13 +76,13 @@
     return list(route_results.values())
 
 
-def table_of(plays: list[PlayResult]) -> str:
+def format_table(plays: list[PlayResult]) -> str:
     """Format the results as a text table with one line for each route."""
     lines = [
         "route                asked  in time    late  refused  failed"
         "  worth   p50 ms   p95 ms"
     ]
-    for summary in by_route(plays):
+    for summary in group_by_route(plays):
         shares = [summary.share(outcome) for outcome in Outcome]
         times_ms = [
             summary.latency_at_percentile_ms(p)
@@ -144,7 +144,7 @@
             rows.writerow(row)
 
 
-def draw(plays: list[PlayResult], path: Path) -> None:
+def write_plot(plays: list[PlayResult], path: Path) -> None:
     """Draw the outcomes of each second's requests as an SVG file."""
     # Imported here because nothing else in the package needs the plotting library.
     import pygal
--- a/src/cinderway/experiment/_run.py
+++ b/src/cinderway/experiment/_run.py
@@ -34,15 +34,15 @@
 class LimitedServer:
     """The requests to a server that advertised a rate limit, and its latest limit.
 
-    `named_at_ms` is when it first advertised one. Times count from the start of the
-    load.
+    `limited_since_ms` is when it first advertised one. Times count from the start of
+    the load.
     """
 
     limit_per_s: float
-    named_at_ms: int
+    limited_since_ms: int
     arrivals_ms: list[int]
 
-    def most_in(self, window_ms: int, from_ms: int) -> int:
+    def count_most_in_window(self, window_ms: int, from_ms: int) -> int:
         """Return the most requests that arrived in any window of this length.
 
         Requests before `from_ms` are left out.
--- a/src/cinderway/reports/__init__.py
+++ b/src/cinderway/reports/__init__.py
@@ -16,39 +16,39 @@
     ServiceLevel,
     WindowCount,
 )
-from cinderway.reports._levels import WINDOWS_S, LevelCounter, burn_rate
-from cinderway.reports._losses import ServiceLosses, losses_of
+from cinderway.reports._levels import WINDOWS_S, ServiceLevelCounter, burn_rate
+from cinderway.reports._losses import ServiceLosses, aggregate_losses
 from cinderway.reports._request_line import RequestLine, parse_request_line
 from cinderway.reports._server_runs import (
-    GAPS_MS,
-    Followed,
+    GAP_BOUNDS_MS,
+    FollowingOutcomes,
     ServerRun,
     ServiceRuns,
-    parse_run,
+    parse_server_run,
     runs_by_service,
 )
 
 __all__ = [
-    "GAPS_MS",
+    "GAP_BOUNDS_MS",
     "REPORT",
     "WINDOWS_S",
     "EjectionEvent",
     "EjectionsAnswer",
-    "Followed",
     "EventKind",
-    "LevelCounter",
+    "FollowingOutcomes",
     "LevelsAnswer",
     "ReadEjections",
     "ReadLevels",
     "RequestLine",
     "ServerRun",
     "ServiceLevel",
+    "ServiceLevelCounter",
     "ServiceLosses",
     "ServiceRuns",
     "WindowCount",
+    "aggregate_losses",
     "burn_rate",
-    "losses_of",
     "parse_request_line",
-    "parse_run",
+    "parse_server_run",
     "runs_by_service",
 ]
--- a/src/cinderway/reports/_levels.py
+++ b/src/cinderway/reports/_levels.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class LevelCounter:
+class ServiceLevelCounter:
     """Counts one service's requests on one entry, by window.
 
     Each window keeps a bucket for each of its steps in which requests ended.
@@ -32,7 +32,7 @@
         default_factory=lambda: {window_s: deque() for window_s in WINDOWS_S}
     )
 
-    def count(self, is_missed: bool, now_ms: int) -> None:
+    def record_request(self, is_missed: bool, now_ms: int) -> None:
         """Record a request that met or missed the objective."""
         for window_s, buckets in self._buckets.items():
             step = _step(window_s, now_ms)
@@ -42,7 +42,7 @@
             buckets[-1].requests += 1
             buckets[-1].missed += is_missed
 
-    def read(self, now_ms: int) -> dict[int, tuple[int, int]]:
+    def read_counts(self, now_ms: int) -> dict[int, tuple[int, int]]:
         """Return the counts of all and of missed requests, keyed by the window in s."""
         found = {}
         for window_s, buckets in self._buckets.items():
--- a/src/cinderway/reports/_losses.py
+++ b/src/cinderway/reports/_losses.py
@@ -24,17 +24,17 @@
     servers: Counter[str] = field(default_factory=Counter)
 
     @property
-    def lost(self) -> int:
+    def lost_count(self) -> int:
         """The number of requests that were not answered."""
         return self.reasons.total()
 
     @property
     def lost_percent(self) -> float:
         """The percentage of requests that were not answered; 0 without requests."""
-        total = self.lost + len(self.answered_ms)
-        return 100 * self.lost / total if total else 0.0
+        total = self.lost_count + len(self.answered_ms)
+        return 100 * self.lost_count / total if total else 0.0
 
-    def time_ms(self, percentile: int) -> float:
+    def duration_percentile_ms(self, percentile: int) -> float:
         """Return a percentile of the durations of answered requests; 0 without any."""
         if len(self.answered_ms) < 2:
             return float(sum(self.answered_ms))
@@ -44,7 +44,7 @@
         return cuts[percentile - 1]
 
 
-def losses_of(lines: Iterable[RequestLine]) -> dict[str, ServiceLosses]:
+def aggregate_losses(lines: Iterable[RequestLine]) -> dict[str, ServiceLosses]:
     """Aggregate the log lines by service."""
     losses: dict[str, ServiceLosses] = {}
     for line in lines:
--- a/src/cinderway/reports/_request_line.py
+++ b/src/cinderway/reports/_request_line.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from urllib.parse import quote, unquote
 
-NONE = "none"
+NO_VALUE = "none"
 # Punctuation in an account's name that is not percent-encoded in the line.
 UNQUOTED_NAME_CHARACTERS = "-_.~@:+"
 REQUEST_LINE_PATTERN = re.compile(
@@ -35,14 +35,14 @@
     age_ms: int
     code: str = ""
     step: str = ""
-    account: str = NONE
+    account: str = NO_VALUE
 
     def __str__(self) -> str:
         """Format the log line, without the error."""
         return (
             f"request {self.name}: {self.outcome} in {self.duration_ms} ms; "
             f"route {self.route}, service {self.service}, "
-            f"servers {','.join(self.servers) or NONE}, "
+            f"servers {','.join(self.servers) or NO_VALUE}, "
             f"catalog {self.revision} known {self.age_ms} ms ago, "
             f"account {quote(self.account, safe=UNQUOTED_NAME_CHARACTERS)}"
         )
@@ -60,10 +60,10 @@
         duration_ms=int(found["duration_ms"]),
         route=found["route"],
         service=found["service"],
-        servers=() if servers == NONE else tuple(servers.split(",")),
+        servers=() if servers == NO_VALUE else tuple(servers.split(",")),
         revision=int(found["revision"]),
         age_ms=int(found["age_ms"]),
         code=found["code"] or "",
         step=found["step"] or "",
-        account=unquote(found["account"] or NONE),
+        account=unquote(found["account"] or NO_VALUE),
     )
--- a/src/cinderway/reports/_server_runs.py
+++ b/src/cinderway/reports/_server_runs.py
@@ -18,26 +18,23 @@
 # Upper bounds, in ms, of the classes of time between an outcome and the next request:
 # below the first, shorter than a request takes; below the second, shorter than a server
 # stays suspected after a failure; the last class has no bound.
-GAPS_MS = (500, 2_000)
+GAP_BOUNDS_MS = (500, 2_000)
 FAILED = "failed"
 
 
 @dataclass(frozen=True)
 class ServerRun:
-    """One request that was sent to a single server, in its entry's clock.
-
-    `is_good`: it was answered.
-    """
+    """One request that was sent to a single server, in its entry's clock."""
 
     service: str
     server: str
     began_at_ms: int
     ended_at_ms: int
-    is_good: bool
+    is_answered: bool
 
 
 @dataclass
-class Followed:
+class FollowingOutcomes:
     """How many requests followed a kind of outcome, and how many of them failed."""
 
     count: int = 0
@@ -53,19 +50,20 @@
 class ServiceRuns:
     """One service's runs by server, and what followed which outcome.
 
-    `followed` is keyed by whether the server's previous outcome was good and by the
-    index of the gap since then in GAPS_MS; an index beyond its end is a longer gap.
+    `following` is keyed by whether the server's previous request was answered and by
+    the index of the gap since then in GAP_BOUNDS_MS; an index beyond its end is a
+    longer gap.
     `first` counts requests that began before any outcome of their server was known.
     """
 
     runs: dict[str, list[ServerRun]] = field(default_factory=lambda: defaultdict(list))
-    followed: dict[tuple[bool, int], Followed] = field(
-        default_factory=lambda: defaultdict(Followed)
+    following: dict[tuple[bool, int], FollowingOutcomes] = field(
+        default_factory=lambda: defaultdict(FollowingOutcomes)
     )
-    first: Followed = field(default_factory=Followed)
+    first: FollowingOutcomes = field(default_factory=FollowingOutcomes)
 
 
-def parse_run(text: str) -> ServerRun | None:
+def parse_server_run(text: str) -> ServerRun | None:
     """Parse a log line; None if it does not give the outcome at one certain server.
 
     The line of a request that was sent to several servers does not tell which of them
@@ -105,11 +103,11 @@
     ends_ms = [run.ended_at_ms for run in by_end]
     for run in sorted(runs, key=lambda run: run.began_at_ms):
         before = bisect_right(ends_ms, run.began_at_ms)
-        followed = service.first
+        following = service.first
         if before:
             last = by_end[before - 1]
-            gap = bisect_right(GAPS_MS, run.began_at_ms - last.ended_at_ms)
-            followed = service.followed[last.is_good, gap]
-        followed.count += 1
-        followed.failed += not run.is_good
+            gap = bisect_right(GAP_BOUNDS_MS, run.began_at_ms - last.ended_at_ms)
+            following = service.following[last.is_answered, gap]
+        following.count += 1
+        following.failed += not run.is_answered
     runs.sort(key=lambda run: run.began_at_ms)
--- a/tests/experiment/test_limits.py
+++ b/tests/experiment/test_limits.py
@@ -54,7 +54,9 @@
         limited = play(declared, SEED).limited_servers
         self.assertTrue(limited)
         for server in limited:
-            most = server.most_in(WINDOW_MS, server.named_at_ms + SETTLED_MS)
+            most = server.count_most_in_window(
+                WINDOW_MS, server.limited_since_ms + SETTLED_MS
+            )
             self.assertLessEqual(most, allowed(server.limit_per_s))
 
     def test_a_limit_holds_over_forty_entries(self):
--- a/tests/experiment/test_loads.py
+++ b/tests/experiment/test_loads.py
@@ -16,7 +16,7 @@
 from cinderway.entry._blackboard import ServerState
 from cinderway.entry.callers import _route_policies
 from cinderway.entry.servers import _slots
-from cinderway.experiment import Outcome, by_route, play
+from cinderway.experiment import Outcome, group_by_route, play
 from cinderway.experiment._declaration import Fault, FaultKind
 from cinderway.routing import _choose
 
@@ -28,7 +28,7 @@
 
 
 def result_of(declared, seeds=SEEDS):
-    return by_route([play(declared, seed) for seed in seeds])[0]
+    return group_by_route([play(declared, seed) for seed in seeds])[0]
 
 
 def missed_share(result):
--- a/tests/experiment/test_play.py
+++ b/tests/experiment/test_play.py
@@ -4,7 +4,14 @@
 from pathlib import Path
 
 from cinderway.catalog import RouteKind
-from cinderway.experiment import Outcome, by_route, draw, play, table_of, write_csv
+from cinderway.experiment import (
+    Outcome,
+    format_table,
+    group_by_route,
+    play,
+    write_csv,
+    write_plot,
+)
 from cinderway.experiment._declaration import Fault, FaultKind, PoisonRequest
 
 from ._declared import USERS_BURSTS, experiment, route, service
@@ -18,7 +25,7 @@
         self.assertNotEqual(first.results, other.results)
 
     def test_healthy_servers_with_room_answer_everything_in_time(self):
-        result = by_route([play(experiment(), 1)])[0]
+        result = group_by_route([play(experiment(), 1)])[0]
         self.assertGreater(result.request_count, 50)
         self.assertEqual(result.share(Outcome.IN_TIME), 1)
 
@@ -31,7 +38,8 @@
             length_ms=20_000,
         )
         lost = {
-            r.route.name: r.share(Outcome.FAILED) for r in by_route([play(declared, 1)])
+            r.route.name: r.share(Outcome.FAILED)
+            for r in group_by_route([play(declared, 1)])
         }
         self.assertGreater(lost["reading-submit"], 0.05)
         self.assertLess(lost["lookup"], lost["reading-submit"] / 3)
@@ -50,11 +58,11 @@
 
     def test_results_are_printed_written_and_drawn(self):
         plays = [play(experiment(length_ms=2_000), 1)]
-        self.assertIn("reading-submit", table_of(plays))
+        self.assertIn("reading-submit", format_table(plays))
         with tempfile.TemporaryDirectory() as folder:
             write_csv(plays, Path(folder) / "seconds.csv")
             rows = list(csv.DictReader((Path(folder) / "seconds.csv").open()))
-            draw(plays, Path(folder) / "seconds.svg")
+            write_plot(plays, Path(folder) / "seconds.svg")
             self.assertIn("<svg", (Path(folder) / "seconds.svg").read_text())
         self.assertEqual([row["second"] for row in rows], ["0", "1"])
 
@@ -65,7 +73,7 @@
         declared = experiment(length_ms=2_000, poison=[poison])
         plays = [play(declared, 1)]
         self.assertEqual(len(plays[0].server_crashes_ms), 1)
-        self.assertIn("1.0 sent to servers, 1.0 of which ended", table_of(plays))
+        self.assertIn("1.0 sent to servers, 1.0 of which ended", format_table(plays))
         with tempfile.TemporaryDirectory() as folder:
             write_csv(plays, Path(folder) / "seconds.csv")
             rows = list(csv.DictReader((Path(folder) / "seconds.csv").open()))
--- a/tests/experiment/test_poison.py
+++ b/tests/experiment/test_poison.py
@@ -21,7 +21,7 @@
 
 from cinderway._ids import DataHall
 from cinderway.catalog import RouteKind
-from cinderway.experiment import Outcome, by_route, play
+from cinderway.experiment import Outcome, group_by_route, play
 from cinderway.experiment._declaration import PoisonRequest
 
 from ._declared import experiment, route, service
@@ -65,7 +65,7 @@
 
 
 def served_share(one_play):
-    (result,) = by_route([one_play])
+    (result,) = group_by_route([one_play])
     return result.share(Outcome.IN_TIME)
 
 
--- a/tests/experiment/test_pushback.py
+++ b/tests/experiment/test_pushback.py
@@ -15,7 +15,7 @@
 
 from cinderway._ids import DataHall
 from cinderway.entry._catalog_board import CatalogBoard
-from cinderway.experiment import Outcome, by_route, play
+from cinderway.experiment import Outcome, group_by_route, play
 from cinderway.experiment._declaration import BurstFailure
 
 from ._declared import BUSY_SERVERS, USERS_BURSTS, experiment, route, service
@@ -37,7 +37,7 @@
 
 def refused_share(experiment):
     plays = [play(experiment, seed) for seed in SEEDS]
-    return by_route(plays)[0].share(Outcome.REFUSED)
+    return group_by_route(plays)[0].share(Outcome.REFUSED)
 
 
 class BusyServersTests(unittest.TestCase):
@@ -60,4 +60,4 @@
         busy = service(servers_a_hall=4, rest_ms=1_000, bursts=bursts)
         play_result = play(declared(0, services=[busy], faults=[]), SEEDS[0])
         self.assertGreater(play_result.rejected, 0)
-        self.assertEqual(by_route([play_result])[0].share(Outcome.FAILED), 0)
+        self.assertEqual(group_by_route([play_result])[0].share(Outcome.FAILED), 0)
--- a/tests/reports/test_losses.py
+++ b/tests/reports/test_losses.py
@@ -3,7 +3,7 @@
 
 from hypothesis import given, strategies as st
 
-from cinderway.reports import RequestLine, losses_of, parse_request_line
+from cinderway.reports import RequestLine, aggregate_losses, parse_request_line
 
 ANSWERED = RequestLine("r1", "answered", 40, "pay", "desk", ("i-1",), 7, 90)
 WORDS = st.text("abcdefghij-0123456789", min_size=1, max_size=12)
@@ -41,7 +41,7 @@
             ANSWERED, outcome="failed", code="deadline-passed", step="await-answer"
         )
         own = replace(ANSWERED, outcome="failed", age_ms=9_000)
-        found = losses_of([ANSWERED, late, late, own])["desk"]
+        found = aggregate_losses([ANSWERED, late, late, own])["desk"]
         self.assertEqual(
             found.reasons.most_common(),
             [
@@ -49,11 +49,11 @@
                 ("the server's own failure, 1 server, entry cut off from control", 1),
             ],
         )
-        self.assertEqual((found.lost, found.lost_percent), (3, 75.0))
+        self.assertEqual((found.lost_count, found.lost_percent), (3, 75.0))
         self.assertEqual(found.servers, {"i-1": 3})
 
     def test_times_are_those_of_answered_requests(self):
         lines = [replace(ANSWERED, duration_ms=ms) for ms in range(1, 101)]
-        found = losses_of(lines)["desk"]
-        self.assertAlmostEqual(found.time_ms(50), 50.5)
-        self.assertGreater(found.time_ms(95), 95)
+        found = aggregate_losses(lines)["desk"]
+        self.assertAlmostEqual(found.duration_percentile_ms(50), 50.5)
+        self.assertGreater(found.duration_percentile_ms(95), 95)
