--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -254,7 +254,7 @@
             if entry.data_hall == self.cut_hall:
                 continue
             for date, milli, _, server in EJECTED.findall(
-                self.fleet.log_of(entry.name)
+                self.fleet.read_log(entry.name)
             ):
                 at_s = time.mktime(time.strptime(date, "%Y-%m-%d %H:%M:%S"))
                 at_s += int(milli) / 1000
--- a/bench/table.py
+++ b/bench/table.py
@@ -76,7 +76,7 @@
 def in_force_s(fleet: Fleet, done: dict[int, tuple]) -> list[float]:
     """Return, for each edit, when the last entry had it or a newer one in force."""
     found = []
-    logs = [IN_FORCE.findall(fleet.log_of(entry.name)) for entry in fleet.entries]
+    logs = [IN_FORCE.findall(fleet.read_log(entry.name)) for entry in fleet.entries]
     for revision, (_, accepted_s) in done.items():
         last_s = 0.0
         for lines in logs:
--- a/standins/catalog_fleet.py
+++ b/standins/catalog_fleet.py
@@ -302,7 +302,7 @@
                 env={"PATH": os.environ["PATH"]},
             )
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """What a process has written so far."""
         return (self.path / f"{name}.log").read_text()
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -251,7 +251,7 @@
         for entry in self.entries:
             while not self.is_ready(entry):
                 if entry.process.poll() is not None:
-                    raise RuntimeError(self.log_of(entry.name)[-2000:])
+                    raise RuntimeError(self.read_log(entry.name)[-2000:])
                 if time.monotonic() > deadline_s:
                     raise TimeoutError(f"entry {entry.name} is not ready")
                 time.sleep(0.05)
@@ -349,7 +349,7 @@
         self.processes[name] = process
         return process
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what a process wrote so far."""
         return (self.path / f"{name}.log").read_text()
 
--- a/tests/system/test_catalog.py
+++ b/tests/system/test_catalog.py
@@ -153,7 +153,7 @@
         line = wait_for(
             lambda: [
                 text
-                for text in self.fleet.log_of("entry-0").splitlines()
+                for text in self.fleet.read_log("entry-0").splitlines()
                 if "logged-1" in text
             ],
             "a log line",
@@ -170,7 +170,7 @@
         content = sheet(version, route("look"), accounts=[row])
         self.assertEqual(self.fleet.put_sheet(content), 200)
         wait_for(
-            lambda: f"sheet version {version}," in self.fleet.log_of("entry-0"),
+            lambda: f"sheet version {version}," in self.fleet.read_log("entry-0"),
             "the sheet in force",
         )
 
@@ -259,9 +259,13 @@
         revision = f"{len(self.servers)} backend servers"
         # Changes that come close together reach an entry as one: the word on the last
         # server that registered and the word that one leaves were one line.
-        wait_for(lambda: revision in self.fleet.log_of("entry-0"), "all servers known")
+        wait_for(
+            lambda: revision in self.fleet.read_log("entry-0"), "all servers known"
+        )
         self.fleet.register(leaving, "leaving")
-        wait_for(lambda: self.fleet.log_of("entry-0").count(revision) >= 2, "the word")
+        wait_for(
+            lambda: self.fleet.read_log("entry-0").count(revision) >= 2, "the word"
+        )
         leaving.runs.clear()
         for number in range(10):
             self.assertEqual(self.ask("/once/x", f"d{number}", "POST").status, 200)
@@ -346,7 +350,7 @@
         wait_for(gets_more, "work for the server")
 
     def told_of_parts(self):
-        logs = [self.fleet.log_of(f"entry-{n}") for n in range(self.entries)]
+        logs = [self.fleet.read_log(f"entry-{n}") for n in range(self.entries)]
         return ["servers' rates are divided among" in log for log in logs]
 
     def ask_all(self, attempt):
@@ -475,7 +479,7 @@
         names = [f"control-{number}" for number in range(3)]
         for name in [*names, "entry-0", "entry-1"]:
             self.fleet.kill(name)
-        logged = [len(self.fleet.log_of(f"entry-{number}")) for number in range(2)]
+        logged = [len(self.fleet.read_log(f"entry-{number}")) for number in range(2)]
         for number in range(3):
             self.fleet.start_control(number)
         for number in range(2):
@@ -489,11 +493,11 @@
 
     def knows(self, number, logged):
         """Whether an entry has logged since then that a request is refused."""
-        return "is refused" in self.fleet.log_of(f"entry-{number}")[logged:]
+        return "is refused" in self.fleet.read_log(f"entry-{number}")[logged:]
 
     def is_stored(self):
         stored = [
-            self.fleet.log_of(f"control-{number}").count("a refusal is stored")
+            self.fleet.read_log(f"control-{number}").count("a refusal is stored")
             for number in range(3)
         ]
         return sum(map(bool, stored)) >= 2
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -118,10 +118,10 @@
         self.addCleanup(fleet.stop)
         fleet.start()
         for name in ("entry-0", "control-0"):
-            wait_for(lambda name=name: "starts at" in fleet.log_of(name), "a start")
+            wait_for(lambda name=name: "starts at" in fleet.read_log(name), "a start")
         fleet.put_sheet({"version": 1, "routes": [], "services": []})
         fleet.wait_ready()
         for name in ("entry-0", "control-0"):
             fleet.signal(name, signal.SIGHUP)
-            wait_for(lambda name=name: "SIGHUP" in fleet.log_of(name), "a reload")
+            wait_for(lambda name=name: "SIGHUP" in fleet.read_log(name), "a reload")
             self.assertIsNone(fleet.processes[name].poll())
