--- a/bench/_counted.py
+++ b/bench/_counted.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from cinderway import _launch
-from cinderway._settings import environment_variable_of
+from cinderway._settings import get_environment_variable
 from cinderway.wire import Conversation
 
 PACKAGE = "/src/cinderway/"
@@ -79,7 +79,7 @@
     """Run the daemon named on the command line."""
     folder, role, *arguments = sys.argv[1:]
     options = dict(zip(arguments[::2], arguments[1::2], strict=True))
-    variable = environment_variable_of("settings_file")
+    variable = get_environment_variable("settings_file")
     os.environ[variable] = options["--settings-file"]
     _count_messages()
     run = anyio.run
--- a/bench/table.py
+++ b/bench/table.py
@@ -79,7 +79,7 @@
     An entry that applies a newer revision has applied the edit, too.
     """
     delays_s = []
-    logs = [IN_FORCE.findall(fleet.log_of(entry.name)) for entry in fleet.entries]
+    logs = [IN_FORCE.findall(fleet.read_log(entry.name)) for entry in fleet.entries]
     for revision, (_, accepted_s) in edit_times.items():
         last_s = 0.0
         for lines in logs:
--- a/standins/catalog_fleet.py
+++ b/standins/catalog_fleet.py
@@ -306,7 +306,7 @@
                 env={"PATH": os.environ["PATH"]},
             )
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return a process's output so far."""
         return (self.path / f"{name}.log").read_text()
 
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -9,7 +9,7 @@
     CatalogControlSettings,
     CatalogEntrySettings,
     parse_settings,
-    settings_of,
+    get_declarations,
 )
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -74,7 +74,7 @@
         ):
             with self.subTest(template):
                 values = fill_template(template)
-                self.assertEqual(values.keys() - settings_of(kind).keys(), set())
+                self.assertEqual(values.keys() - get_declarations(kind).keys(), set())
                 parse_settings(kind, format_values(values))
 
     def test_templates_and_programs_of_all_roles_exist(self):
--- a/tests/system/test_catalog.py
+++ b/tests/system/test_catalog.py
@@ -155,7 +155,7 @@
         line = wait_for(
             lambda: [
                 text
-                for text in self.fleet.log_of("entry-0").splitlines()
+                for text in self.fleet.read_log("entry-0").splitlines()
                 if "logged-1" in text
             ],
             "a log line",
@@ -172,7 +172,7 @@
         content = sheet(version, route("look"), accounts=[row])
         self.assertEqual(self.fleet.put_sheet(content), 200)
         wait_for(
-            lambda: f"sheet version {version}," in self.fleet.log_of("entry-0"),
+            lambda: f"sheet version {version}," in self.fleet.read_log("entry-0"),
             "the sheet in force",
         )
 
@@ -269,11 +269,11 @@
         # the last registration and the leaving status arrived together and were logged
         # as one line.
         wait_for(
-            lambda: logged_update in self.fleet.log_of("entry-0"), "all servers known"
+            lambda: logged_update in self.fleet.read_log("entry-0"), "all servers known"
         )
         self.fleet.register(leaving, "leaving")
         wait_for(
-            lambda: self.fleet.log_of("entry-0").count(logged_update) >= 2, "the update"
+            lambda: self.fleet.read_log("entry-0").count(logged_update) >= 2, "the update"
         )
         leaving.runs.clear()
         for number in range(10):
@@ -366,7 +366,7 @@
         wait_for(has_received_more, "requests to the server")
 
     def entries_know_rate_shares(self):
-        logs = [self.fleet.log_of(f"entry-{n}") for n in range(self.entries)]
+        logs = [self.fleet.read_log(f"entry-{n}") for n in range(self.entries)]
         return ["servers' rates are divided among" in log for log in logs]
 
     def send_to_all_entries(self, attempt):
@@ -503,7 +503,7 @@
         names = [f"control-{number}" for number in range(3)]
         for name in [*names, "entry-0", "entry-1"]:
             self.fleet.kill(name)
-        logged = [len(self.fleet.log_of(f"entry-{number}")) for number in range(2)]
+        logged = [len(self.fleet.read_log(f"entry-{number}")) for number in range(2)]
         for number in range(3):
             self.fleet.start_control(number)
         for number in range(2):
@@ -517,11 +517,11 @@
 
     def has_logged_refusal(self, number, logged):
         """Whether an entry has logged a refusal after the first `logged` characters."""
-        return "is refused" in self.fleet.log_of(f"entry-{number}")[logged:]
+        return "is refused" in self.fleet.read_log(f"entry-{number}")[logged:]
 
     def is_refusal_stored(self):
         stored = [
-            self.fleet.log_of(f"control-{number}").count("a refusal is stored")
+            self.fleet.read_log(f"control-{number}").count("a refusal is stored")
             for number in range(3)
         ]
         return sum(map(bool, stored)) >= 2
