--- a/src/cinderway/table/_rows.py
+++ b/src/cinderway/table/_rows.py
@@ -24,7 +24,7 @@
 TABLE_LEVEL = 1
 
 NAME_PATTERN = r"[a-z0-9][a-z0-9.-]{0,62}"
-NAME_DESCRIPTION = "1 to 63 of a-z 0-9 . -, beginning with a letter or digit"
+NAME_DESCRIPTION = "1 to 63 characters of a-z 0-9 . -, starting with a letter or digit"
 ADDRESS_PATTERN = r"(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}"
 PATH_PATTERN = r"/[^\s?#]*"
 RUN_ONCE_PATTERN = r"(POST|PUT|PATCH|DELETE):/[^\s?#]*"
@@ -67,97 +67,97 @@
     routes: frozenset[str] = column(
         TextSet(PATH_PATTERN, "a path prefix such as /lookup"),
         default=frozenset(),
-        help="Path prefixes that belong to this service; the longest match wins.",
+        help="Path prefixes of this service; the longest matching prefix wins.",
     )
     run_once_routes: frozenset[str] = column(
         TextSet(RUN_ONCE_PATTERN, "METHOD:/path-prefix such as POST:/readings"),
         default=frozenset(),
-        help="Requests that may run at most once.",
+        help="Methods and path prefixes of requests that may run at most once.",
     )
     key_required: bool = column(
         Flag(),
         default=False,
-        help="Refuse a run-once request that carries no Idempotency-Key.",
+        help="Refuse run-once requests without an Idempotency-Key header.",
     )
     answer_mode: AnswerMode = column(
         Choice(AnswerMode),
         default=AnswerMode.WHOLE,
-        help="Hold an answer until it is whole, or stream it (downloads).",
+        help="Buffer responses until they are complete, or stream them (downloads).",
     )
     floor_slots: int = column(
         Integer(0, 1_000_000, "slots"),
         default=0,
-        help="Ejection never leaves less healthy capacity than this.",
+        help="Ejections never reduce the healthy capacity below this.",
     )
     floor_percent: int = column(
         Integer(0, 100, "% of slots"),
         default=50,
-        help="Ejection never leaves less than this share of the table's slots.",
+        help="Ejections never reduce the healthy capacity below this share of slots.",
     )
     probe_path: str = column(
-        Text(r"(/[^\s?#]*)?", "a path, or nothing"),
+        Text(r"(/[^\s?#]*)?", "a path, or empty"),
         default="",
-        help="GET of this path does real, repeatable work: it tries out a suspect.",
+        help="Path of GET probes, which test suspect servers by real, repeatable work.",
     )
     probes_per_s: int = column(
         Integer(0, 50, "probes/s"),
         default=5,
-        help="How often each server is probed, less where callers ask it often.",
+        help="Probes to each server; fewer while callers send it many requests.",
     )
     bias: Bias = column(
         Choice(Bias),
         default=Bias.BALANCED,
-        help="Detect failing servers sooner, or eject healthy ones more rarely.",
+        help="Favour early detection of failures, or few ejections of healthy servers.",
     )
     request_timeout_ms: int = column(
         Integer(10, 3_600_000, "ms"),
         default=10_000,
-        help="A request without a deadline of its own gets this one.",
+        help="Deadline of requests that do not set their own.",
     )
     stall_timeout_ms: int = column(
         Integer(10, 600_000, "ms"),
         default=5_000,
-        help="A streamed answer that makes no progress for this long is resumed.",
+        help="Streamed responses without progress for this long are resumed.",
     )
     queue_limit: int = column(
         Integer(0, 100_000, "requests"),
         default=64,
-        help="Requests that one entry holds waiting for a slot of this service.",
+        help="Maximum requests waiting for a slot of this service on one entry.",
     )
     caller_limit: int = column(
         Integer(1, 100_000, "requests"),
         default=16,
-        help="Requests that one caller may have waiting or running on one entry.",
+        help="Maximum requests of one caller, waiting or in flight, on one entry.",
     )
     retry_percent: int = column(
         Integer(0, 100, "% of requests"),
         default=10,
-        help="Retries and hedges together never add more than this share.",
+        help="Maximum share that retries and hedges together add.",
     )
     slow_start_ms: int = column(
         Integer(0, 3_600_000, "ms"),
         default=5_000,
-        help="A server that is new or comes back reaches its full share after this.",
+        help="Time for a new or returning server to reach its full share of traffic.",
     )
     claim_retention_s: int = column(
         Integer(60, 2_592_000, "s"),
         default=86_400,
-        help="How long the outcome of a run-once request is remembered.",
+        help="How long the outcome of a run-once request is kept.",
     )
     answer_kept_bytes: int = column(
         Integer(0, 262_144, "bytes"),
         default=16_384,
-        help="A run-once answer up to this size is stored and given to resends.",
+        help="Run-once responses up to this size are stored, and replayed to resends.",
     )
     objective_percent: float = column(
         Decimal(0, 99.999, "% of requests"),
         default=99.9,
-        help="Share of requests that must be answered well: the service level.",
+        help="Service level objective: share of requests with a good response.",
     )
     objective_latency_ms: int = column(
         Integer(1, 3_600_000, "ms"),
         default=2_000,
-        help="An answer whose first byte comes later than this is not a good one.",
+        help="Responses whose first byte arrives later do not count as good.",
     )
 
 
@@ -171,30 +171,31 @@
         help="The service that this server belongs to.",
     )
     data_hall: DataHall = column(
-        Text(NAME_PATTERN, NAME_DESCRIPTION), help="The data hall that it stands in."
+        Text(NAME_PATTERN, NAME_DESCRIPTION), help="The data hall of this server."
     )
     address: Address = column(
-        Text(ADDRESS_PATTERN, "IP-number:port"), help="Where it takes requests."
+        Text(ADDRESS_PATTERN, "IP-number:port"),
+        help="Where this server accepts requests.",
     )
     weight: int = column(
         Integer(0, 1000, "(100 is a full share)"),
         default=100,
-        help="Share of the traffic beside its peers; 0 takes new work away.",
+        help="Share of the traffic relative to its peers; 0: no new requests.",
     )
     slots: int = column(
         Integer(1, 10_000, "requests"),
         default=4,
-        help="Requests that it works on at a time.",
+        help="Requests that this server processes concurrently.",
     )
     connection_limit: int = column(
         Integer(1, 100_000, "connections"),
         default=200,
-        help="Connections that the whole fleet may hold open to it.",
+        help="Maximum open connections to this server from the whole fleet.",
     )
     state: ServerState = column(
         Choice(ServerState),
         default=ServerState.ACTIVE,
-        help="leaving: no new work, requests in flight finish.",
+        help="leaving: no new requests; requests in flight finish.",
     )
 
     @property
