--- a/src/cinderway/table/_rows.py
+++ b/src/cinderway/table/_rows.py
@@ -92,7 +92,7 @@
     floor_percent: int = column(
         Integer(0, 100, "% of slots"),
         default=50,
-        help="Ejections never reduce the healthy capacity below this share of slots.",
+        help="Ejections leave at least this share of the table's slots healthy.",
     )
     probe_path: str = column(
         Text(r"(/[^\s?#]*)?", "a path, or empty"),
