--- a/src/cinderway/_cli/_claims.py
+++ b/src/cinderway/_cli/_claims.py
@@ -35,7 +35,10 @@
 def list_claims(settings: OperatorSettings) -> None:
     """Print the claims whose outcome is unknown, oldest first."""
     records = call_ledger(
-        settings, lambda ledger, deadline_ms: ledger.in_doubt(LIST_LIMIT, deadline_ms)
+        settings,
+        lambda ledger, deadline_ms: ledger.find_claims_in_doubt(
+            LIST_LIMIT, deadline_ms
+        ),
     )
     for record in records:
         name = record.name
--- a/src/cinderway/control/_limit_news.py
+++ b/src/cinderway/control/_limit_gossip.py
@@ -11,7 +11,7 @@
 from cinderway.control._commands import ReplicaCalls
 from cinderway.control._follower import Follower
 from cinderway.control._tellings import BestEffortSender
-from cinderway.pushback import LimitRecord, ServerLimits
+from cinderway.pushback import RateLimitStore, ServerLimits
 
 REPLICA_SEND_TIMEOUT_S = 1.0
 # Recent limits are sent to the other replicas again, for those that were partitioned.
@@ -27,7 +27,7 @@
     machine: CatalogMachine
     calls: ReplicaCalls
     followers: Callable[[], set[Follower]]
-    record: LimitRecord = field(default_factory=LimitRecord)
+    store: RateLimitStore = field(default_factory=RateLimitStore)
     _pending_servers: set[ServerName] = field(default_factory=set)
     # Those reported by entries that follow here; they also go to other replicas.
     _pending_for_replicas: set[ServerName] = field(default_factory=set)
@@ -47,18 +47,18 @@
                 self._update_pending = anyio.Event()
                 self._send_pending(monotonic_ms())
 
-    def take(self, message: ServerLimits) -> None:
+    def receive_entry_limits(self, message: ServerLimits) -> None:
         """Receive limits from an entry that follows this replica."""
         self._pending_for_replicas.update(self._record_limits(message))
 
-    def hear(self, message: ServerLimits) -> None:
+    def receive_replica_limits(self, message: ServerLimits) -> None:
         """Receive limits from another replica; they are forwarded to entries only."""
         self._record_limits(message)
 
     def limits(self) -> ServerLimits:
         """Return all known limits, for an entry that begins to follow."""
         now_ms = monotonic_ms()
-        return ServerLimits.of(self.record.held(now_ms), now_ms)
+        return ServerLimits.of(self.store.get_valid(now_ms), now_ms)
 
     def _record_limits(self, message: ServerLimits) -> list[ServerName]:
         """Record newer limits; return the servers whose change has to be forwarded."""
@@ -66,7 +66,7 @@
         changed = [
             line.server
             for line in message.lines
-            if self.record.learn(line.server, line.limit(now_ms))
+            if self.store.record_limit(line.server, line.limit(now_ms))
         ]
         if changed:
             self._pending_servers.update(changed)
@@ -77,13 +77,13 @@
         pending, self._pending_servers = self._pending_servers, set()
         frame = CATALOG.encode(self._build_message(pending, now_ms))
         for follower in self.followers():
-            follower.tell_news([frame])
+            follower.queue_frames([frame])
         for_replicas, self._pending_for_replicas = self._pending_for_replicas, set()
         if for_replicas:
             self._send_to_replicas(self._build_message(for_replicas, now_ms))
 
     def _build_message(self, servers: set[ServerName], now_ms: int) -> ServerLimits:
-        held = self.record.held(now_ms)
+        held = self.store.get_valid(now_ms)
         return ServerLimits.of({s: held[s] for s in servers & held.keys()}, now_ms)
 
     async def _resend_recent(self) -> None:
@@ -92,8 +92,8 @@
             now_ms = monotonic_ms()
             recent = {
                 server: limit
-                for server, limit in self.record.held(now_ms).items()
-                if now_ms - limit.heard_at_ms < RESEND_FOR_MS
+                for server, limit in self.store.get_valid(now_ms).items()
+                if now_ms - limit.received_at_ms < RESEND_FOR_MS
             }
             if recent:
                 self._send_to_replicas(ServerLimits.of(recent, now_ms))
--- a/src/cinderway/entry/_blackboard.py
+++ b/src/cinderway/entry/_blackboard.py
@@ -18,11 +18,11 @@
 from cinderway.membership import Fleet
 from cinderway.pushback import (
     EntryGroup,
-    PushbackBook,
+    PushbackStore,
     ServerLimits,
     ServerPushback,
 )
-from cinderway.routing import RouteTable, faded_load
+from cinderway.routing import RouteTable, decayed_load
 from cinderway.table import ServerRow, ServiceRow, Table
 
 
@@ -38,7 +38,7 @@
     # since then.
     known_load: float = 0.0
     load_known_at_ms: int = 0
-    tells_load: bool = False
+    reports_load: bool = False
     # Pushback that the server itself asked for, in answers to this entry or to others.
     pushback: ServerPushback = field(default_factory=ServerPushback)
     is_listed_leaving: bool = False
@@ -60,11 +60,11 @@
         the entries' requests in flight still count in full.
         """
         in_flight = self.fleet_in_flight / self.row.slots
-        return max(self.told_load_at(now_ms), in_flight)
+        return max(self.reported_load_at(now_ms), in_flight)
 
-    def told_load_at(self, now_ms: int) -> float:
+    def reported_load_at(self, now_ms: int) -> float:
         """Return the last reported load, decayed by age, as a share of the slots."""
-        return faded_load(self.known_load, now_ms - self.load_known_at_ms)
+        return decayed_load(self.known_load, now_ms - self.load_known_at_ms)
 
     def begin_request(self) -> None:
         """Count a request that is sent to the server."""
@@ -77,21 +77,21 @@
         # The control replica's last count may not have included this request.
         self.fleet_in_flight = max(self.fleet_in_flight - 1, self.in_flight)
 
-    def note_load(self, load: float, now_ms: int) -> None:
+    def record_load(self, load: float, now_ms: int) -> None:
         """Record a load that was reported by the server or by another entry."""
         self.known_load = load
         self.load_known_at_ms = now_ms
-        self.tells_load = True
+        self.reports_load = True
 
-    def takes_work(self, now_ms: int) -> bool:
+    def accepts_requests(self, now_ms: int) -> bool:
         """Whether the server accepts new requests, regardless of ejection.
 
         The first source to say that the server is leaving decides: its own signal, the
         platform's list, or the operator's setting in the table.
         """
         return (
-            self.row.takes_work
-            and not self.pushback.leaves(now_ms)
+            self.row.accepts_requests
+            and not self.pushback.has_announced_leaving(now_ms)
             and not self.is_listed_leaving
         )
 
@@ -130,7 +130,7 @@
     services: dict[ServiceName, ServiceState] = field(default_factory=dict)
     # Kept apart from the servers above, whose states are created again whenever they
     # are listed again.
-    pushback: PushbackBook = field(default_factory=PushbackBook)
+    pushback: PushbackStore = field(default_factory=PushbackStore)
     limits: LimitWatch = field(init=False)
     is_table_trusted: bool = False
     is_leaving: bool = False
@@ -140,10 +140,10 @@
     entry_count: int = 1
     # Called with each server whose load or requests in flight changed, if entries share
     # that information.
-    on_load: Callable[[ServerName], None] | None = None
+    on_load_change: Callable[[ServerName], None] | None = None
     # Called with each server that rejected a request as overloaded, if entries share
     # that information.
-    on_turned_away: Callable[[ServerName], None] | None = None
+    on_rejection: Callable[[ServerName], None] | None = None
     # Called with each server that gave this entry a good answer.
     on_good_answer: Callable[[ServerName], None] | None = None
     table_changed: anyio.Event = field(default_factory=anyio.Event)
@@ -157,19 +157,19 @@
         for service in self.services.values():
             service.free_slot()
 
-    def hear_limits(self, reported: ServerLimits, now_ms: int) -> None:
+    def receive_limits(self, reported: ServerLimits, now_ms: int) -> None:
         """Apply the servers' rate limits that other processes learned of."""
         listed = {
             name: server.pushback
             for service in self.services.values()
             for name, server in service.servers.items()
         }
-        self.limits.hear(reported, listed, now_ms)
+        self.limits.receive_limits(reported, listed, now_ms)
         self.wake_waiting_requests()
 
-    def use_group(self, group: EntryGroup, now_ms: int) -> None:
+    def apply_group(self, group: EntryGroup, now_ms: int) -> None:
         """Apply the group of entries that share the servers' rate limits."""
-        self.limits.use_group(group, now_ms)
+        self.limits.apply_group(group, now_ms)
         # All groups are about the same size, since entries choose the nearest of many
         # replicas.
         self.entry_count = max(len(group.entries) * len(group.groups), 1)
--- a/src/cinderway/entry/_poison_watch.py
+++ b/src/cinderway/entry/_poison_watch.py
@@ -19,8 +19,8 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
+    RequestStanding,
     Ruling,
-    Standing,
 )
 
 logger = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
     tally: PoisonTally = field(default_factory=PoisonTally)
     # Called whenever a request begins to be refused.
     on_refusal: Callable[[], None] | None = None
-    has_news: anyio.Event = field(default_factory=anyio.Event)
+    has_changes: anyio.Event = field(default_factory=anyio.Event)
     _unreported_ends: deque[EndedRun] = field(
         default_factory=lambda: deque(maxlen=REPORT_LIMIT)
     )
@@ -59,13 +59,13 @@
         costs one server fewer.
         """
         standing = self.tally.standing_of(digest, monotonic_ms())
-        return standing.is_sent and standing is not Standing.WATCHED
+        return standing.is_sent and standing is not RequestStanding.WATCHED
 
     def record_broken_run(self, digest: RequestDigest, server: ServerName) -> None:
         """Record that a server ended while it was running a request."""
         self._unreported_ends.append(EndedRun(digest, server))
-        self._handle_ruling(self.tally.note_end(digest, server, monotonic_ms()))
-        self.has_news.set()
+        self._handle_ruling(self.tally.record_end(digest, server, monotonic_ms()))
+        self.has_changes.set()
 
     def record_good_answer(self, digest: RequestDigest) -> None:
         """Record that a server gave a good answer to a request."""
@@ -74,41 +74,43 @@
         if len(self._answered_at_ms) >= ANSWERED_LIMIT:
             self._answered_at_ms.pop(next(iter(self._answered_at_ms)))
         self._answered_at_ms[digest] = now_ms
-        if self.tally.is_known(digest):
+        if self.tally.is_tracked(digest):
             self._queue_good_answer(digest, now_ms)
 
-    def take_runs(self) -> RequestRuns:
+    def pop_runs(self) -> RequestRuns:
         """Return the runs to report since the last call."""
         ended = list(self._unreported_ends)
         self._unreported_ends.clear()
         good, self._unreported_good = list(self._unreported_good)[-REPORT_LIMIT:], {}
         # An event that is not set may have waiters: it must not be replaced.
-        if self.has_news.is_set():
-            self.has_news = anyio.Event()
+        if self.has_changes.is_set():
+            self.has_changes = anyio.Event()
         return RequestRuns(ended, good)
 
-    def put_back(self, runs: RequestRuns) -> None:
+    def requeue(self, runs: RequestRuns) -> None:
         """Queue runs again whose report could not be sent."""
         since = list(self._unreported_ends)
         self._unreported_ends.clear()
         self._unreported_ends.extend(runs.ended + since)
         self._unreported_good = dict.fromkeys(runs.good) | self._unreported_good
-        self.has_news.set()
+        self.has_changes.set()
 
     def rulings(self) -> RequestRulings:
         """Return the current rulings, for a replica that may not know them."""
         now_ms = monotonic_ms()
         held = self.tally.rulings(now_ms)[-REPORT_LIMIT:]
-        return RequestRulings([RequestRuling.of(ruling, now_ms) for ruling in held])
+        return RequestRulings(
+            [RequestRuling.from_ruling(ruling, now_ms) for ruling in held]
+        )
 
-    def hear_runs(self, runs: RequestRuns) -> None:
+    def receive_runs(self, runs: RequestRuns) -> None:
         """Apply the runs that another entry reported."""
-        for ruling in self.tally.note_runs(runs, monotonic_ms()):
+        for ruling in self.tally.record_runs(runs, monotonic_ms()):
             self._handle_ruling(ruling)
 
-    def hear_rulings(self, reported: RequestRulings) -> None:
+    def receive_rulings(self, reported: RequestRulings) -> None:
         """Apply the rulings of a replica or of another entry."""
-        for ruling in self.tally.learn_all(reported, monotonic_ms()):
+        for ruling in self.tally.apply_rulings(reported, monotonic_ms()):
             self._handle_ruling(ruling)
 
     def _handle_ruling(self, ruling: Ruling | None) -> None:
@@ -116,7 +118,10 @@
         if ruling is None:
             return
         answered_at_ms = self._answered_at_ms.get(ruling.digest)
-        is_restrictive = ruling.standing in (Standing.WATCHED, Standing.REFUSED)
+        is_restrictive = ruling.standing in (
+            RequestStanding.WATCHED,
+            RequestStanding.REFUSED,
+        )
         if is_restrictive and answered_at_ms is not None:
             # Reads that callers repeat all the time are in flight on every server that
             # ends: they would be refused together with the request that ends it.
@@ -128,6 +133,6 @@
             self.on_refusal()
 
     def _queue_good_answer(self, digest: RequestDigest, now_ms: int) -> None:
-        self.tally.note_good(digest, now_ms)
+        self.tally.record_good(digest, now_ms)
         self._unreported_good[digest] = None
-        self.has_news.set()
+        self.has_changes.set()
--- a/src/cinderway/entry/callers/_requests.py
+++ b/src/cinderway/entry/callers/_requests.py
@@ -17,14 +17,14 @@
 )
 from cinderway.entry.servers._messages import (
     DEADLINE_HEADER,
-    OWN_NAMES,
+    DEFAULT_HEADER_NAMES,
     BackendRequest,
     HeaderNames,
     Headers,
 )
 from cinderway.entry.servers._permit import UNLIMITED, Permit
 from cinderway.poison import RequestDigests
-from cinderway.routing import USUAL_PENALTIES, Penalties, RouteMatch
+from cinderway.routing import DEFAULT_PENALTIES, Penalties, RouteMatch
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
 KEY_HEADER = b"idempotency-key"
@@ -85,7 +85,7 @@
     # Decides whether the request may be sent, and sent again.
     permit: Permit = UNLIMITED
     # Penalties by which servers are compared when one is chosen for the request.
-    penalties: Penalties = USUAL_PENALTIES
+    penalties: Penalties = DEFAULT_PENALTIES
 
     def header(self, name: bytes) -> bytes | None:
         """Return a header's value, or None."""
@@ -152,7 +152,7 @@
 def build_backend_request(
     scope: dict,
     body: bytes,
-    names: HeaderNames = OWN_NAMES,
+    names: HeaderNames = DEFAULT_HEADER_NAMES,
     caller_headers: Headers | None = None,
     account: AccountName | None = None,
 ) -> BackendRequest:
@@ -182,7 +182,7 @@
 
 
 def select_forwarded_headers(
-    headers: Headers, names: HeaderNames = OWN_NAMES
+    headers: Headers, names: HeaderNames = DEFAULT_HEADER_NAMES
 ) -> Headers:
     """Return the headers that are forwarded to the other side."""
     own = {names.deadline, names.expected, names.not_run, names.load, names.leaving}
@@ -194,7 +194,7 @@
         if name not in HOP_BY_HOP
         and name not in also_dropped
         and name not in own
-        and (names.passes_own or not name.startswith(OWN_HEADER_PREFIX))
+        and (names.forwards_own_headers or not name.startswith(OWN_HEADER_PREFIX))
     ]
 
 
--- a/src/cinderway/entry/callers/_stream.py
+++ b/src/cinderway/entry/callers/_stream.py
@@ -16,7 +16,7 @@
 from cinderway.entry.callers._reply import Reply
 from cinderway.entry.callers._requests import ATTEMPT_LIMIT, CallerRequest
 from cinderway.entry.servers._dispatch import Exchange
-from cinderway.judgement import Bad
+from cinderway.judgement import FailureKind
 
 
 @dataclass
@@ -33,7 +33,7 @@
         Raises OutcomeError if it fails before anything was relayed, and
         AnswerBrokenError after that.
         """
-        self.attempts.budget.earn(service)
+        self.attempts.budget.credit(service)
         transfer = _Transfer(service, request, reply)
         for attempt in range(ATTEMPT_LIMIT + 1):
             has_attempts = attempt < ATTEMPT_LIMIT
@@ -72,7 +72,7 @@
                 await transfer.reply.send_head(answer)
             await self._relay(transfer, exchange)
         if transfer.download.status < SERVER_ERROR:
-            transfer.request.permit.note_good_run()
+            transfer.request.permit.record_successful_run()
         return True
 
     async def _relay(self, transfer: "_Transfer", exchange: Exchange) -> None:
@@ -85,15 +85,15 @@
                 if chunk is None:
                     return
                 before_ms = monotonic_ms()
-                evidence.progress(exchange.attempt, len(chunk), before_ms)
+                evidence.record_progress(exchange.attempt, len(chunk), before_ms)
                 await transfer.reply.send_chunk(chunk)
                 transfer.download.sent_bytes += len(chunk)
                 blocked_ms = monotonic_ms() - before_ms
-                evidence.caller_blocked(exchange.attempt, blocked_ms)
+                evidence.exclude_blocked_time(exchange.attempt, blocked_ms)
         except CinderwayError:
             # Not recorded as a sign that the server ended: a download that breaks is
             # resumed at another server, as often as necessary.
-            evidence.fail(exchange.attempt, Bad.CUT)
+            evidence.record_failure(exchange.attempt, FailureKind.CUT)
             raise
         finally:
             await chunks.aclose()
--- a/src/cinderway/entry/fleet/_catalog_follower.py
+++ b/src/cinderway/entry/fleet/_catalog_follower.py
@@ -38,14 +38,14 @@
     ControlSession,
     ControlSessions,
 )
+from cinderway.entry.fleet._heartbeat_times import HeartbeatSendTimes
 from cinderway.entry.fleet._questions import ReplicaRequests
 from cinderway.entry.fleet._replica_choice import (
     AVOID_MS,
     LEADERLESS_AVOID_MS,
     ReplicaChoice,
 )
-from cinderway.entry.fleet._sent_times import HeartbeatSendTimes
-from cinderway.entry.fleet._standby import SILENT_LIMIT_S, Standby
+from cinderway.entry.fleet._standby import SILENCE_TIMEOUT_S, Standby
 from cinderway.poison import RequestRulings
 from cinderway.pushback import FleetEntries, ServerLimits
 from cinderway.wire import Connection, Envelope, Identity, connect
@@ -113,7 +113,7 @@
         )
         self.allowances = Allowances(self._request_allowances)
 
-    def use_settings(self, settings: CatalogEntrySettings) -> None:
+    def apply_settings(self, settings: CatalogEntrySettings) -> None:
         """Apply the settings that may change while the process runs: the seeds."""
         self._choice.seeds = settings.seeds
         logger.info("seeds are now %s", ", ".join(settings.seeds))
@@ -154,7 +154,7 @@
         """Whether a control replica serves this entry now."""
         return self._connection is not None
 
-    async def wait_alone(self) -> None:
+    async def wait_disconnected(self) -> None:
         """Return once no control replica is followed."""
         await self._is_disconnected.wait()
 
@@ -165,19 +165,19 @@
 
     # Retries.
 
-    def earn(self, service: ServiceState) -> None:
+    def credit(self, service: ServiceState) -> None:
         """Credit the retry budget for a request that came in."""
         if self._connection is None:
-            service.budget.earn()
+            service.budget.credit()
         else:
             self._reports.first_requests[service.row.name] += 1
 
-    async def spend(
+    async def consume(
         self, service: ServiceState, *, until_ms: float, after_failure: bool = True
     ) -> bool:
         """Consume one retry from the budget; False if none is granted in time."""
         if self._connection is None:
-            return service.budget.spend()
+            return service.budget.consume()
         request = TakeRetry(service.row.name, after_failure)
         left_s = max(until_ms - monotonic_ms(), 0) / 1000
         answer = await self._requests.call(request, min(left_s, RETRY_TIMEOUT_S))
@@ -233,22 +233,22 @@
             self._choice.find_hall(address) or "an unknown hall",
             known_revision,
         )
-        self.state.follow_anew()
+        self.state.reset_for_new_replica()
         failure: Exception | None = None
         # Retries credited to the local budget must not be spent on top of the shared
         # budget later.
         for service in self.state.board.services.values():
-            service.budget.empty()
+            service.budget.clear()
         self._received_at_ms = monotonic_ms()
         self._sent_times = HeartbeatSendTimes()
         self._connection = connection
         self._is_disconnected = anyio.Event()
         self._requests.connect(connection)
-        self.allowances.start_anew()
+        self.allowances.switch_replica()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._reports.send_evidence, connection)
-            tasks.start_soon(self._reports.send_runs, connection)
-            tasks.start_soon(self._reports.send_turned_away, connection)
+            tasks.start_soon(self._reports.send_ended_runs, connection)
+            tasks.start_soon(self._reports.send_rejecting_servers, connection)
             tasks.start_soon(self._reports.send_limits, connection)
             try:
                 await self._receive_messages(connection, address, tasks)
@@ -257,7 +257,7 @@
             self._connection = None
             self._is_disconnected.set()
             self._requests.disconnect()
-            self.state.follow_anew()
+            self.state.reset_for_new_replica()
             tasks.cancel_scope.cancel()
         if failure is not None:
             raise failure
@@ -276,12 +276,12 @@
         is_sending_loads = False
         # A single scope whose deadline is moved: opening a new one for each message
         # would cost as much as reading the message.
-        with anyio.fail_after(SILENT_LIMIT_S) as silence_scope:
+        with anyio.fail_after(SILENCE_TIMEOUT_S) as silence_scope:
             while self._choice.is_home(address) or (
                 not self._standby.is_current_at_home
             ):
                 envelope = await connection.receive()
-                silence_scope.deadline = anyio.current_time() + SILENT_LIMIT_S
+                silence_scope.deadline = anyio.current_time() + SILENCE_TIMEOUT_S
                 self._received_at_ms = now_ms = monotonic_ms()
                 self._receive_message(envelope, address, now_ms)
                 if not is_sending_loads and self._choice.is_home(address):
@@ -296,9 +296,9 @@
             case CatalogUpdate():
                 self._apply_update(message, now_ms)
             case SuspectServers() | RequestRulings() | ServerLimits() | FleetEntries():
-                self.state.hear(message, now_ms)
+                self.state.receive_message(message, now_ms)
             case ServerLoads():
-                self.state.hear_fleet_loads(message, now_ms)
+                self.state.receive_fleet_loads(message, now_ms)
             case HallEntries(addresses=addresses):
                 self.state.peers = addresses
             case RetryAnswer() | GrantAllowances():
--- a/src/cinderway/entry/fleet/_report_server.py
+++ b/src/cinderway/entry/fleet/_report_server.py
@@ -10,7 +10,7 @@
     REPORT,
     EjectionEvent,
     EjectionsAnswer,
-    Happening,
+    EventKind,
     LevelCounter,
     LevelsAnswer,
     ReadLevels,
@@ -27,7 +27,7 @@
     at_ms: int
     service: ServiceName
     server: ServerName
-    what: Happening
+    what: EventKind
     reason: str
     score: float
 
@@ -45,18 +45,18 @@
         """The route that serves operators' connections."""
         return Route(REPORT, self._serve)
 
-    def count(self, service: ServiceName, is_missed: bool) -> None:
+    def record_request(self, service: ServiceName, is_missed: bool) -> None:
         """Record a request that met or missed its service's objective."""
         counter = self._levels.get(service)
         if counter is None:
             counter = self._levels[service] = LevelCounter()
         counter.count(is_missed, monotonic_ms())
 
-    def note(
+    def record_event(
         self,
         service: ServiceName,
         server: ServerName,
-        what: Happening,
+        what: EventKind,
         reason: str = "",
         score: float = 0.0,
     ) -> None:
--- a/src/cinderway/entry/servers/_notes.py
+++ b/src/cinderway/entry/servers/_notes.py
@@ -15,7 +15,7 @@
 from cinderway.entry.servers._load_report import parse_load
 from cinderway.entry.servers._messages import BackendAnswer
 from cinderway.judgement import Attempt, EvidenceLog
-from cinderway.pushback import NO_WORDS, ServerWords, Turn
+from cinderway.pushback import NO_PUSHBACK, PushbackHeaders, RateToken
 
 logger = logging.getLogger(__name__)
 
@@ -30,7 +30,7 @@
     server: ServerState
     attempt: Attempt
     attempt_id: AttemptId
-    token: Turn
+    token: RateToken
 
     def __str__(self) -> str:
         """Return the server's description for log lines."""
@@ -45,15 +45,15 @@
     evidence: EvidenceLog
     metrics: Metrics
 
-    def send(self, server: ServerState, now_ms: int) -> None:
+    def record_sent(self, server: ServerState, now_ms: int) -> None:
         """Count a request at once, before the server's next load report includes it."""
-        if server.tells_load:
-            load = server.told_load_at(now_ms) + 1 / server.row.slots
-            server.note_load(load, now_ms)
+        if server.reports_load:
+            load = server.reported_load_at(now_ms) + 1 / server.row.slots
+            server.record_load(load, now_ms)
         server.begin_request()
         self._announce_load(server)
 
-    def end(self, server: ServerState) -> None:
+    def record_end(self, server: ServerState) -> None:
         """Count the end of a request, whatever its outcome."""
         server.end_request()
         self._announce_load(server)
@@ -64,19 +64,19 @@
         """Apply the pushback and the load report in a response's headers."""
         server = outgoing.server
         pushback = answer.parse_pushback(wall_clock_ms())
-        if pushback is not NO_WORDS:
+        if pushback is not NO_PUSHBACK:
             self._apply_pushback(outgoing, pushback, now_ms)
         is_good = answer.status < SERVER_ERROR and not answer.is_shed
         # A response to a request that failed or did not run may lack the limit header,
         # so only a good response without the header removes a limit.
-        self.board.limits.note(
+        self.board.limits.record_headers(
             server.row.name, server.pushback, pushback, now_ms, ends_without=is_good
         )
         if is_good and self.board.on_good_answer is not None:
             self.board.on_good_answer(server.row.name)
         reported = parse_load(answer.header(answer.names.load))
         if reported is not None:
-            server.note_load(reported, now_ms)
+            server.record_load(reported, now_ms)
             self._announce_load(server)
 
     def record_shed(
@@ -94,8 +94,8 @@
             server.in_flight,
             max(server.pause_until_ms, server.pushback.backoff_until_ms) - now_ms,
         )
-        if self.board.on_turned_away is not None:
-            self.board.on_turned_away(server.row.name)
+        if self.board.on_rejection is not None:
+            self.board.on_rejection(server.row.name)
 
     def record_held_back(
         self, outgoing: OutgoingAttempt, error: CinderwayError
@@ -111,11 +111,11 @@
         )
 
     def _apply_pushback(
-        self, outgoing: OutgoingAttempt, pushback: ServerWords, now_ms: int
+        self, outgoing: OutgoingAttempt, pushback: PushbackHeaders, now_ms: int
     ) -> None:
         """Apply a server's pushback and log what is new in it."""
         server = outgoing.server
-        if pushback.is_leaving and not server.pushback.leaves(now_ms):
+        if pushback.is_leaving and not server.pushback.has_announced_leaving(now_ms):
             logger.info("%s announced that it is leaving", outgoing)
         if pushback.backoff_ms is not None:
             labels = {"service": outgoing.service.row.name}
@@ -126,10 +126,12 @@
                 outgoing,
                 pushback.backoff_ms,
             )
-        self.board.pushback.note(server.row.name, server.pushback, pushback, now_ms)
+        self.board.pushback.record_headers(
+            server.row.name, server.pushback, pushback, now_ms
+        )
         if pushback.is_leaving:
-            self.evidence.drain_seen(outgoing.attempt)
+            self.evidence.record_draining(outgoing.attempt)
 
     def _announce_load(self, server: ServerState) -> None:
-        if self.board.on_load is not None:
-            self.board.on_load(server.row.name)
+        if self.board.on_load_change is not None:
+            self.board.on_load_change(server.row.name)
--- a/src/cinderway/judgement/_evidence.py
+++ b/src/cinderway/judgement/_evidence.py
@@ -32,7 +32,7 @@
 OVERDUE_LIMIT = 3
 
 
-class Bad(Enum):
+class FailureKind(Enum):
     """The reason why an observation is bad."""
 
     ERROR = "error"
@@ -45,7 +45,9 @@
 # The kinds that make a server suspect at once. A slow answer does not: under load it
 # tells more about the service than about the server. An overdue request does, because a
 # server that hangs never answers with an error.
-ALARMS = frozenset({Bad.ERROR, Bad.UNREACHABLE, Bad.CUT, Bad.OVERDUE})
+ALARMS = frozenset(
+    {FailureKind.ERROR, FailureKind.UNREACHABLE, FailureKind.CUT, FailureKind.OVERDUE}
+)
 
 
 @dataclass
@@ -53,7 +55,7 @@
     """Counts of one server's observations since the last report."""
 
     good: int = 0
-    bad: dict[Bad, int] = field(default_factory=dict)
+    bad: dict[FailureKind, int] = field(default_factory=dict)
     time_sum_ms: float = 0.0
     time_count: int = 0
     answer_times_ms: list[int] = field(default_factory=list)
@@ -110,11 +112,14 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """A request in flight; `mark_ms` is when the wait for the current piece began."""
+    """A request in flight.
+
+    The wait for its current piece began at `piece_started_at_ms`.
+    """
 
     service: ServiceName
     server: ServerName
-    mark_ms: int
+    piece_started_at_ms: int
     piece_bytes: int = 0
     overdue_count: int = 0
     is_piece_overdue: bool = False
@@ -129,7 +134,7 @@
         self._paces: dict[ServiceName, Pace] = {}
         self._assumed_paces: dict[ServiceName, Pace] = {}
         # Called with the server and the kind of each observation in ALARMS.
-        self.on_alarm: Callable[[ServerName, Bad], None] | None = None
+        self.on_alarm: Callable[[ServerName, FailureKind], None] | None = None
         # Called with the server that answers an overdue request: it was slow but does
         # not hang.
         self.on_late_answer: Callable[[ServerName], None] | None = None
@@ -138,7 +143,7 @@
         """Set the answer times of a service, as aggregated over many entries."""
         self._paces[service] = pace
 
-    def assume_paces(self, objectives_ms: dict[ServiceName, int]) -> None:
+    def set_objectives(self, objectives_ms: dict[ServiceName, int]) -> None:
         """Set the latency objectives from which unknown paces are estimated."""
         self._assumed_paces = {
             service: Pace.from_objective(objective_ms)
@@ -160,7 +165,7 @@
         """Time after which an answer or a piece counts as a bad observation."""
         return self.pace(service).late_ms
 
-    def begin(
+    def start_attempt(
         self,
         service: ServiceName,
         server: ServerName,
@@ -175,55 +180,55 @@
             self._counts_of(attempt).probes += 1
         return attempt
 
-    def first_byte(self, attempt: Attempt, status: int, now_ms: int) -> None:
+    def record_first_byte(self, attempt: Attempt, status: int, now_ms: int) -> None:
         """Record the arrival of an answer's head."""
         if status >= 500:
-            self._record_bad(attempt, Bad.ERROR)
+            self._record_bad(attempt, FailureKind.ERROR)
         else:
             counts = self._counts_of(attempt)
-            counts.answer_times_ms.append(max(now_ms - attempt.mark_ms, 0))
+            counts.answer_times_ms.append(max(now_ms - attempt.piece_started_at_ms, 0))
             self._record_timing(attempt, now_ms)
             if attempt.is_piece_overdue:
                 self._record_late_answer(attempt, counts)
         self._start_next_piece(attempt, now_ms)
 
-    def progress(self, attempt: Attempt, size_bytes: int, now_ms: int) -> None:
+    def record_progress(self, attempt: Attempt, size_bytes: int, now_ms: int) -> None:
         """Record the arrival of a part of a streamed body."""
         attempt.piece_bytes += size_bytes
         if attempt.piece_bytes >= PIECE_BYTES:
             self._record_timing(attempt, now_ms)
             self._start_next_piece(attempt, now_ms)
 
-    def piece_end(self, attempt: Attempt, now_ms: int) -> None:
+    def record_piece_end(self, attempt: Attempt, now_ms: int) -> None:
         """Record the end of a probe's body, which counts as one piece."""
         self._record_timing(attempt, now_ms)
         self._start_next_piece(attempt, now_ms)
 
-    def drain_seen(self, attempt: Attempt) -> None:
+    def record_draining(self, attempt: Attempt) -> None:
         """Record the server's signal that it is draining."""
         self._counts_of(attempt).is_draining = True
 
-    def caller_blocked(self, attempt: Attempt, blocked_ms: int) -> None:
+    def exclude_blocked_time(self, attempt: Attempt, blocked_ms: int) -> None:
         """Exclude time during which the caller, not the server, blocked the stream."""
-        attempt.mark_ms += blocked_ms
+        attempt.piece_started_at_ms += blocked_ms
 
-    def fail(self, attempt: Attempt, kind: Bad) -> None:
+    def record_failure(self, attempt: Attempt, kind: FailureKind) -> None:
         """Record that the attempt failed; an overdue one is not counted again."""
         if not attempt.is_piece_overdue:
             self._record_bad(attempt, kind)
         self._in_flight.discard(attempt)
 
-    def end(self, attempt: Attempt) -> None:
+    def end_attempt(self, attempt: Attempt) -> None:
         """Record that the attempt is over, without a further observation."""
         self._in_flight.discard(attempt)
 
-    def sweep(self, now_ms: int) -> None:
+    def record_overdue(self, now_ms: int) -> None:
         """Count the requests that are in flight for too long as overdue."""
         for attempt in self._in_flight:
             if now_ms >= self._late_at_ms(attempt):
                 attempt.overdue_count += 1
                 attempt.is_piece_overdue = True
-                self._record_bad(attempt, Bad.OVERDUE)
+                self._record_bad(attempt, FailureKind.OVERDUE)
 
     def next_late_at_ms(self) -> float:
         """Time at which the next request becomes overdue; infinite if there is none."""
@@ -236,22 +241,22 @@
         if attempt.overdue_count >= OVERDUE_LIMIT:
             return math.inf
         limit_ms = self.late_after_ms(attempt.service) * (attempt.overdue_count + 1)
-        return attempt.mark_ms + limit_ms
+        return attempt.piece_started_at_ms + limit_ms
 
     @property
-    def has_urgent(self) -> bool:
+    def has_urgent_evidence(self) -> bool:
         """Whether there are observations to report without delay."""
         return any(
             c.bad or c.is_draining or c.late_answers for c in self._counts.values()
         )
 
-    def take(self) -> dict[tuple[ServiceName, ServerName], ServerCounts]:
+    def pop_counts(self) -> dict[tuple[ServiceName, ServerName], ServerCounts]:
         """Return the observations since the last call."""
         counts, self._counts = self._counts, {}
         return counts
 
     def _record_timing(self, attempt: Attempt, now_ms: int) -> None:
-        duration_ms = max(now_ms - attempt.mark_ms, 0)
+        duration_ms = max(now_ms - attempt.piece_started_at_ms, 0)
         counts = self._counts_of(attempt)
         # Slow answers count towards the normal time too, so that it rises when the
         # whole service becomes slower.
@@ -260,7 +265,7 @@
         if attempt.is_piece_overdue:
             return
         if duration_ms > self.late_after_ms(attempt.service):
-            self._record_bad(attempt, Bad.SLOW)
+            self._record_bad(attempt, FailureKind.SLOW)
         else:
             counts.good += 1
 
@@ -270,12 +275,12 @@
             self.on_late_answer(attempt.server)
 
     def _start_next_piece(self, attempt: Attempt, now_ms: int) -> None:
-        attempt.mark_ms = now_ms
+        attempt.piece_started_at_ms = now_ms
         attempt.piece_bytes = 0
         attempt.overdue_count = 0
         attempt.is_piece_overdue = False
 
-    def _record_bad(self, attempt: Attempt, kind: Bad) -> None:
+    def _record_bad(self, attempt: Attempt, kind: FailureKind) -> None:
         bad = self._counts_of(attempt).bad
         bad[kind] = bad.get(kind, 0) + 1
         if self.on_alarm is not None and kind in ALARMS:
--- a/src/cinderway/limits/_connect_limit.py
+++ b/src/cinderway/limits/_connect_timeout.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class ConnectLimit:
+class ConnectTimeout:
     """The connect timeout of one process.
 
     Until the first connection succeeds, it is the maximum. Each consecutive timeout
@@ -33,7 +33,7 @@
     _consecutive_timeouts: int = 0
 
     @property
-    def limit_ms(self) -> float:
+    def current_ms(self) -> float:
         """The timeout for the next connection attempt."""
         if self._smoothed_ms is None:
             return MAXIMUM_TIMEOUT_MS
@@ -46,7 +46,7 @@
             MAXIMUM_TIMEOUT_MS,
         )
 
-    def note_made(self, duration_ms: float) -> None:
+    def record_connect_time(self, duration_ms: float) -> None:
         """Record the time that a successful connection took."""
         self._consecutive_timeouts = 0
         if self._smoothed_ms is None:
@@ -56,6 +56,6 @@
         self._deviation_ms += DEVIATION_GAIN * (difference_ms - self._deviation_ms)
         self._smoothed_ms += TIME_GAIN * (duration_ms - self._smoothed_ms)
 
-    def note_missed(self) -> None:
+    def record_timeout(self) -> None:
         """Record a connection attempt that timed out."""
         self._consecutive_timeouts += 1
--- a/src/cinderway/replication/_node.py
+++ b/src/cinderway/replication/_node.py
@@ -45,7 +45,7 @@
     def apply(self, index: int, data: bytes) -> Any:
         """Execute a committed command and return its result."""
 
-    def freeze(self) -> Callable[[], bytes]:
+    def capture_snapshot(self) -> Callable[[], bytes]:
         """Return a function that encodes the state as of this call.
 
         The function is called later, in another thread. It must let other threads run
@@ -371,7 +371,7 @@
             return
         term = self.core.log.term_at(index)
         membership = self.core.log.membership_at(index).encode()
-        encode = self.state_machine.freeze()
+        encode = self.state_machine.capture_snapshot()
         data = await anyio.to_thread.run_sync(encode)
         snapshot = Snapshot(index, term, membership, data)
         # Messages that arrived while the state was encoded have changed the log in
--- a/tests/control/test_poison_news.py
+++ b/tests/control/test_poison_news.py
@@ -9,7 +9,7 @@
 from cinderway.catalog import CATALOG, AnnounceReplica, CatalogMachine, encode_command
 from cinderway.control import _poison_news
 from cinderway.control._poison_news import PoisonGossip
-from cinderway.poison import EndedRun, RequestRulings, RequestRuns, Standing
+from cinderway.poison import EndedRun, RequestRulings, RequestRuns, RequestStanding
 
 ADDRESSES = ("10.1.0.1:7100", "10.1.0.2:7100", "10.2.0.1:7100")
 OWN, *OTHERS = ADDRESSES
@@ -36,7 +36,7 @@
     def __init__(self):
         self.standings = []
 
-    def tell_news(self, frames):
+    def queue_frames(self, frames):
         for frame in frames:
             message = CATALOG.decode(frame, peer="x").message
             self.standings += [line.standing for line in message.lines]
@@ -69,33 +69,33 @@
 
     def test_entries_are_sent_rulings_and_replicas_are_sent_ended_runs(self):
         self.play(
-            lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+            lambda: self.gossip.receive_entry_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings and len(self.calls.sent) == 2,
         )
-        self.assertEqual(self.entry.standings, [Standing.REFUSED])
+        self.assertEqual(self.entry.standings, [RequestStanding.REFUSED])
         expected = [(address, build_runs("a", "b", "c")) for address in OTHERS]
         self.assertEqual(self.calls.sent, expected)
 
     def test_runs_from_another_replica_are_not_forwarded_to_replicas(self):
         self.play(
-            lambda: self.gossip.hear_runs(build_runs("a", "b", "c")),
+            lambda: self.gossip.receive_replica_runs(build_runs("a", "b", "c")),
             is_enough=lambda: self.entry.standings,
         )
         self.assertEqual(self.calls.sent, [])
 
     def test_ended_runs_of_different_replicas_entries_are_counted_together(self):
-        self.gossip.take_runs(build_runs("a"))
-        self.gossip.hear_runs(build_runs("b", "c"))
+        self.gossip.receive_entry_runs(build_runs("a"))
+        self.gossip.receive_replica_runs(build_runs("b", "c"))
         (line,) = self.gossip.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
 
     def test_a_good_answer_at_another_replica_clears_the_request(self):
-        self.gossip.take_runs(build_runs("a", "b", "c"))
+        self.gossip.receive_entry_runs(build_runs("a", "b", "c"))
         self.play(
-            lambda: self.gossip.hear_runs(RequestRuns([], [DIGEST])),
+            lambda: self.gossip.receive_replica_runs(RequestRuns([], [DIGEST])),
             is_enough=lambda: self.entry.standings,
         )
-        self.assertEqual(self.entry.standings, [Standing.CLEARED])
+        self.assertEqual(self.entry.standings, [RequestStanding.CLEARED])
 
     def test_rulings_in_force_are_resent_to_replicas(self):
         def sent_rulings():
@@ -103,17 +103,18 @@
 
         with patch.object(_poison_news, "RESEND_PERIOD_S", 0.001):
             self.play(
-                lambda: self.gossip.take_runs(build_runs("a", "b", "c")),
+                lambda: self.gossip.receive_entry_runs(build_runs("a", "b", "c")),
                 is_enough=lambda: len(sent_rulings()) >= 4,
             )
         restarted = PoisonGossip(OTHERS[0], CatalogMachine(), RecordingCalls(), set)
-        restarted.learn(sent_rulings()[0])
+        restarted.receive_rulings(sent_rulings()[0])
         (line,) = restarted.rulings().lines
-        self.assertIs(line.standing, Standing.REFUSED)
+        self.assertIs(line.standing, RequestStanding.REFUSED)
 
     def test_without_rulings_nothing_is_resent(self):
         self.play(
-            lambda: self.gossip.take_runs(build_runs("a")), is_enough=lambda: True
+            lambda: self.gossip.receive_entry_runs(build_runs("a")),
+            is_enough=lambda: True,
         )
         self.assertEqual(
             [m for _, m in self.calls.sent], [build_runs("a"), build_runs("a")]
--- a/tests/entry/fleet/test_assessor_server.py
+++ b/tests/entry/fleet/test_assessor_server.py
@@ -14,7 +14,7 @@
     RequestRuling,
     RequestRulings,
     RequestRuns,
-    Standing,
+    RequestStanding,
 )
 from cinderway.wire import Envelope
 
@@ -64,12 +64,12 @@
         entries = [StubEntry(ended("a", "b")), StubEntry(ended("c"))]
         self.serve_until(*entries, until=1)
         for entry in entries:
-            self.assertIs(entry.standings[-1], Standing.REFUSED)
+            self.assertIs(entry.standings[-1], RequestStanding.REFUSED)
 
     def test_what_an_entry_knows_already_is_passed_on(self):
         tally = PoisonTally()
-        rulings = [tally.note_end(D, server, 0) for server in ("a", "b", "c")]
-        known = RequestRulings([RequestRuling.of(rulings[-1], 0)])
+        rulings = [tally.record_end(D, server, 0) for server in ("a", "b", "c")]
+        known = RequestRulings([RequestRuling.from_ruling(rulings[-1], 0)])
         entries = [StubEntry(known), StubEntry()]
         self.serve_until(*entries, until=1)
-        self.assertEqual(entries[1].standings, [Standing.REFUSED])
+        self.assertEqual(entries[1].standings, [RequestStanding.REFUSED])
--- a/tests/entry/fleet/test_hall_peers.py
+++ b/tests/entry/fleet/test_hall_peers.py
@@ -12,7 +12,7 @@
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry._catalog_board import CatalogBoard
 from cinderway.entry.fleet._hall_peers import SERVERS_PER_DATAGRAM, HallPeers
-from cinderway.judgement import Bad, EvidenceLog
+from cinderway.judgement import EvidenceLog, FailureKind
 from tests.entry.test_catalog_board import SERVICE, SUVA, catalog
 
 KEY = b"a key that is long enough"
@@ -40,8 +40,8 @@
 
 def set_load(peers, name, load):
     """Make a server report its load to an entry."""
-    server_of(peers, name).note_load(load, monotonic_ms())
-    peers.state.board.on_load(name)
+    server_of(peers, name).record_load(load, monotonic_ms())
+    peers.state.board.on_load_change(name)
 
 
 def server_of(peers, name):
@@ -51,7 +51,7 @@
 class HallPeersTests(unittest.TestCase):
     def test_a_server_that_fails_at_one_entry_is_suspect_at_another(self):
         one, other = entry("e1"), entry("e2")
-        one.state.note_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", FailureKind.ERROR)
         for message in one.take_pending_messages():
             other.receive_datagram(one.encode_datagram(message))
         self.assertGreater(server_of(other, "a").suspect_until_ms, monotonic_ms())
@@ -68,7 +68,7 @@
 
     def test_changes_are_sent_once(self):
         one = entry("e1")
-        one.state.note_alarm("a", Bad.ERROR)
+        one.state.record_alarm("a", FailureKind.ERROR)
         self.assertEqual(len(list(one.take_pending_messages())), 1)
         self.assertEqual(list(one.take_pending_messages()), [])
 
@@ -121,5 +121,5 @@
 
         anyio.run(run)
         self.assertEqual(one.sent_messages, 0)
-        untold = one.state.take_loads(server_of(one, "a").load_known_at_ms)
+        untold = one.state.pop_loads(server_of(one, "a").load_known_at_ms)
         self.assertEqual(untold, ServerLoads([ServerLoad("a", 0.75)]))
--- a/tests/entry/servers/test_limits.py
+++ b/tests/entry/servers/test_limits.py
@@ -41,7 +41,7 @@
 
     def __init__(self, rate=b"2", names_=(LIMITED, "fit"), others=(), connect_ms=0):
         super().__init__(build_answer_of(rate), names=names_, connect_ms=connect_ms)
-        self.board.use_group(build_group(*others), monotonic_ms())
+        self.board.apply_group(build_group(*others), monotonic_ms())
 
     def get_pushback(self):
         return self.board.services[SERVICE].servers[LIMITED].pushback
@@ -69,7 +69,7 @@
         async def play():
             world = LimitedWorld(b"2")
             update = ServerLimits([ServerLimit(LIMITED, 2.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await world.ask_often(LENGTH_MS, pause_ms=20)
             return world
 
@@ -84,7 +84,7 @@
                     tasks.start_soon(world.ask)
                 await anyio.sleep(0.1)
                 update = ServerLimits([ServerLimit(LIMITED, 0.5, 0)])
-                world.board.hear_limits(update, monotonic_ms())
+                world.board.receive_limits(update, monotonic_ms())
             return world
 
         world = run_in_virtual_time(play)
@@ -106,12 +106,12 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await anyio.sleep(2)
-            rate_bucket = world.get_pushback().turns
-            rate_bucket.take(monotonic_ms())
-            rate_bucket.give_back()
-            return rate_bucket.take(monotonic_ms())
+            rate_bucket = world.get_pushback().bucket
+            rate_bucket.acquire(monotonic_ms())
+            rate_bucket.release()
+            return rate_bucket.acquire(monotonic_ms())
 
         self.assertTrue(run_in_virtual_time(play))
 
@@ -119,7 +119,7 @@
         async def play():
             world = LimitedWorld(b"0.5", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 0.5, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             service = world.board.services[SERVICE]
             server = service.servers[LIMITED]
             for _ in range(20):
@@ -142,7 +142,7 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             start_ms = monotonic_ms()
             async with anyio.create_task_group() as tasks:
                 for _ in range(10):
@@ -165,7 +165,7 @@
         async def play():
             world = LimitedWorld(b"1", (LIMITED,))
             update = ServerLimits([ServerLimit(LIMITED, 1.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             start_ms = monotonic_ms()
             await world.ask(objective_ms=600)
             return world.outcomes, monotonic_ms() - start_ms
@@ -179,7 +179,7 @@
             world = LimitedWorld(b"2", (LIMITED,))
             world.board.pushback.group = None
             update = ServerLimits([ServerLimit(LIMITED, 2.0, 0)])
-            world.board.hear_limits(update, monotonic_ms())
+            world.board.receive_limits(update, monotonic_ms())
             await world.ask()
             return world, world.get_pushback().retry_after_ms(monotonic_ms())
 
@@ -233,7 +233,7 @@
     def test_an_older_update_that_arrives_later_does_not_restore_a_limit(self):
         async def play():
             world = LimitedWorld()
-            book = world.board.pushback
+            store = world.board.pushback
             await anyio.sleep(1)
             now_ms = monotonic_ms()
             for limit in (
@@ -241,7 +241,7 @@
                 RateLimit(None, now_ms),
                 RateLimit(2.0, now_ms - 300),
             ):
-                book.learn_limit(LIMITED, world.get_pushback(), limit, now_ms)
+                store.apply_limit(LIMITED, world.get_pushback(), limit, now_ms)
             return world.get_pushback().is_limited(now_ms)
 
         self.assertFalse(run_in_virtual_time(play))
--- a/tests/entry/servers/test_queue_check.py
+++ b/tests/entry/servers/test_queue_check.py
@@ -22,7 +22,7 @@
 from cinderway._ids import DataHall, EntryName
 from cinderway.entry._blackboard import Blackboard
 from cinderway.entry.servers._permit import UNLIMITED
-from cinderway.entry.servers._slots import Slots, WantedSlot
+from cinderway.entry.servers._slots import SlotRequirements, Slots
 from cinderway.judgement import EvidenceLog, Pace
 from cinderway.routing import Penalties
 from cinderway.table import ServiceRow
@@ -57,7 +57,7 @@
         for state, (load, suspicion, _, _, is_warming_up) in zip(
             self.service.servers.values(), servers, strict=True
         ):
-            state.note_load(load, now_ms)
+            state.record_load(load, now_ms)
             state.suspect_until_ms = now_ms + round(suspicion * SUSPECT_MS)
             state.warm_until_ms = now_ms + FAR_FUTURE_MS if is_warming_up else 0
         evidence = EvidenceLog()
@@ -68,7 +68,7 @@
     def take(self):
         """Return the load of the server chosen for one request; None if rejected."""
         now_ms = monotonic_ms()
-        wanted = WantedSlot(
+        wanted = SlotRequirements(
             now_ms + DEADLINE_MS,
             set(),
             Penalties(other_hall=0.7, suspect=5.0),
@@ -76,7 +76,7 @@
             UNLIMITED,
         )
         try:
-            return anyio.run(self.slots.take, self.service, wanted).known_load
+            return anyio.run(self.slots.acquire, self.service, wanted).known_load
         except CinderwayError as error:
             if error.code is not ErrorCode.QUEUE_FULL:
                 raise
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -7,12 +7,12 @@
 from cinderway.limits import (
     Admission,
     Admitted,
-    Refused,
+    Rejected,
     RetryBudget,
     plan_connections,
 )
 from cinderway.limits._retry_budget import INITIAL_TOKENS
-from cinderway.routing import own_subset
+from cinderway.routing import connection_subset
 from cinderway.table import ServiceRow
 
 SERVICE = ServiceRow(name="lookup", queue_limit=4, caller_limit=2)
@@ -25,20 +25,20 @@
         first_attempts = retries = 0
         for is_first_attempt in steps:
             if is_first_attempt:
-                budget.earn()
+                budget.credit()
                 first_attempts += 1
             else:
-                retries += budget.spend()
+                retries += budget.consume()
             allowed = INITIAL_TOKENS + first_attempts * percent / 100
             self.assertLessEqual(retries, allowed + 1e-6)
 
     def test_an_emptied_budget_grants_nothing_until_it_has_earned_a_retry(self):
         budget = RetryBudget(50)
-        budget.empty()
-        budget.earn()
-        self.assertFalse(budget.spend())
-        budget.earn()
-        self.assertTrue(budget.spend())
+        budget.clear()
+        budget.credit()
+        self.assertFalse(budget.consume())
+        budget.credit()
+        self.assertTrue(budget.consume())
 
 
 class ConnectionPlanTest(unittest.TestCase):
@@ -56,7 +56,7 @@
         plan = plan_connections(200, 1_100, len(servers))
         connections = Counter()
         for entry in range(1_100):
-            for server in own_subset(f"e{entry}", servers, plan.subset_size):
+            for server in connection_subset(f"e{entry}", servers, plan.subset_size):
                 connections[server] += plan.per_entry
         self.assertLessEqual(max(connections.values()), 200)
         self.assertEqual(len(connections), len(servers))
@@ -65,7 +65,7 @@
 class AdmissionTest(unittest.TestCase):
     def setUp(self):
         self.admission = Admission()
-        self.admission.note_service_time(100.0)
+        self.admission.record_service_time(100.0)
 
     def decide(self, remaining_ms=10_000, caller="ana"):
         return self.admission.decide(SERVICE, caller, remaining_ms, usable_slots=2)
@@ -93,5 +93,5 @@
     def test_a_rejection_always_has_a_retry_after_time(self, waiting, remaining_ms):
         self.admission.waiting = waiting
         decision = self.decide(remaining_ms)
-        if isinstance(decision, Refused):
+        if isinstance(decision, Rejected):
             self.assertGreaterEqual(decision.retry_after_s, 1)
