--- a/bench/server_limits.py
+++ b/bench/server_limits.py
@@ -184,7 +184,9 @@
         for server in result.limited_servers:
             from_ms = server.limited_since_ms + SETTLED_MS
             capacity = 1.5 * server.limit_per_s * WINDOW_MS / 1000 + 5
-            worst = max(worst, server.count_most_in_window(WINDOW_MS, from_ms) / capacity)
+            worst = max(
+                worst, server.count_most_in_window(WINDOW_MS, from_ms) / capacity
+            )
             used += sum(from_ms <= at < length_ms for at in server.arrivals_ms)
             accepted += server.limit_per_s * (length_ms - from_ms) / 1000
     route = group_by_route(results)[0]
--- a/tests/platform/test_deploy.py
+++ b/tests/platform/test_deploy.py
@@ -8,8 +8,8 @@
 from cinderway._settings import (
     CatalogControlSettings,
     CatalogEntrySettings,
-    parse_settings,
     get_declarations,
+    parse_settings,
 )
 
 ROOT = Path(__file__).resolve().parent.parent.parent
--- a/tests/system/test_catalog.py
+++ b/tests/system/test_catalog.py
@@ -273,7 +273,8 @@
         )
         self.fleet.register(leaving, "leaving")
         wait_for(
-            lambda: self.fleet.read_log("entry-0").count(logged_update) >= 2, "the update"
+            lambda: self.fleet.read_log("entry-0").count(logged_update) >= 2,
+            "the update",
         )
         leaving.runs.clear()
         for number in range(10):
